--- a/features/run.py
+++ b/features/run.py
@@ -71,7 +71,7 @@
 def list_scenarios(features: list[dict]) -> list[tuple[str, bool]]:
     """List each scenario's name and whether it passed; one not run has failed."""
     return [
-        (element["name"], element.get("status") == "passed")
+        (element["name"].strip(), element.get("status") == "passed")
         for feature in features
         for element in feature.get("elements", [])
         if element["type"] == "scenario"
