--- a/features/steps/front_steps.py
+++ b/features/steps/front_steps.py
@@ -10,7 +10,7 @@
 from dotterelgate_core.codes import Refusal
 from dotterelgate_core.control_messages import Probe, ProbeAnswered
 from dotterelgate_core.loads import LoadReport
-from dotterelgate_core.reading import (
+from dotterelgate_core.store_reading import (
     RegistryReadEnded,
     RegistryReadFailed,
 )
--- a/features/steps/reading_steps.py
+++ b/features/steps/reading_steps.py
@@ -5,7 +5,8 @@
 from behave import given, then, when
 from subjects.front import Front, find
 
-from dotterelgate_core.reading import (
+from dotterelgate_core.sharing import select_alive
+from dotterelgate_core.store_reading import (
     ConfigurationReadEnded,
     ConfigurationReadFailed,
     NewsHeard,
@@ -14,7 +15,6 @@
     RegistryReadEnded,
     RegistryReadFailed,
 )
-from dotterelgate_core.sharing import select_alive
 
 TICK_SECONDS = 0.02
 BEAT_STEPS = 12
--- a/features/subjects/front.py
+++ b/features/subjects/front.py
@@ -11,13 +11,13 @@
 from dotterelgate_core.keys import KeyTable
 from dotterelgate_core.leases import LeaseTable
 from dotterelgate_core.peers import PeerTable
-from dotterelgate_core.reading import ReadingState
 from dotterelgate_core.registry import Registration, RegistrationRead, RegistryState
 from dotterelgate_core.retries import BudgetTable
 from dotterelgate_core.sharing import HeartbeatHeard
 from dotterelgate_core.splits import SplitTable
 from dotterelgate_core.state import DaemonState, Limits
 from dotterelgate_core.store_control import ConfigurationStored, make_store_pipeline
+from dotterelgate_core.store_reading import ReadingState
 
 SEED = 7
 ZONE = "north"
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/serving.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/serving.py
@@ -4,8 +4,8 @@
 
 from circuits import Component
 
+from dotterelgate_daemon.http_server import Asked, HttpServer, answer_json
 from dotterelgate_daemon.polling import DirectPoller
-from dotterelgate_daemon.serving import Asked, HttpServer, answer_json
 from dotterelgate_daemon.streams import StreamService
 from dotterelgate_daemon.timers import TimerService
 
--- a/packages/dotterelgate-core/src/dotterelgate_core/admission.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/admission.py
@@ -7,7 +7,7 @@
 from dotterelgate_core import codes
 from dotterelgate_core.codes import Refusal
 from dotterelgate_core.messages import CallRouted, Decision, Settled, SlotFreed, Ticked
-from dotterelgate_core.returning import advise_return
+from dotterelgate_core.retry_after import advise_return
 from dotterelgate_core.sharing import free_slots
 
 if TYPE_CHECKING:
--- a/packages/dotterelgate-core/src/dotterelgate_core/policies.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/policies.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from dotterelgate_core.soonest import make_soonest
+from dotterelgate_core.expected_time import make_soonest
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
--- a/packages/dotterelgate-core/src/dotterelgate_core/servers.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/servers.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
+from dotterelgate_core.backoff import find_pause
 from dotterelgate_core.loads import LoadView
-from dotterelgate_core.pauses import find_pause
 
 if TYPE_CHECKING:
     from dotterelgate_core.configuration import BackendServer, Service
--- a/packages/dotterelgate-core/src/dotterelgate_core/settling.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/settling.py
@@ -27,7 +27,7 @@
     Ticked,
 )
 from dotterelgate_core.observing import free_slot
-from dotterelgate_core.returning import advise_return
+from dotterelgate_core.retry_after import advise_return
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
--- a/packages/dotterelgate-core/src/dotterelgate_core/state.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/state.py
@@ -12,7 +12,7 @@
 from dotterelgate_core.retries import BudgetTable
 from dotterelgate_core.servers import ServerTable
 from dotterelgate_core.splits import SplitTable
-from dotterelgate_core.worktimes import WorkTimes
+from dotterelgate_core.work_times import WorkTimes
 
 if TYPE_CHECKING:
     from dotterelgate_core.handovers import HandoverTable
--- a/packages/dotterelgate-core/src/dotterelgate_core/store_control.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/store_control.py
@@ -8,19 +8,19 @@
 from dotterelgate_core.control_messages import ConfigurationChanged, ControlTicked
 from dotterelgate_core.messages import Decision, SlotFreed
 from dotterelgate_core.pipes import connect
-from dotterelgate_core.reading import make_reading_filter
 from dotterelgate_core.registry import make_registry_filter
 from dotterelgate_core.sampling import SamplingState, make_sampling_filter
 from dotterelgate_core.sharing import make_sharing_filter
+from dotterelgate_core.store_reading import make_reading_filter
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
     from dotterelgate_core.configuration import Configuration
     from dotterelgate_core.pipes import Filter, Message
-    from dotterelgate_core.reading import ReadingState
     from dotterelgate_core.registry import RegistryState
     from dotterelgate_core.state import DaemonState
+    from dotterelgate_core.store_reading import ReadingState
 
 __all__ = ["ConfigurationStored", "make_store_pipeline"]
 
--- a/packages/dotterelgate-core/src/dotterelgate_core/reading.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/store_reading.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
+from dotterelgate_core.backoff import find_pause
 from dotterelgate_core.control_messages import ControlTicked
-from dotterelgate_core.pauses import find_pause
 from dotterelgate_core.peers import rank_by_rendezvous
 from dotterelgate_core.registry import StoreReturned
 from dotterelgate_core.sharing import select_alive
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/assembly.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/assembly.py
@@ -17,17 +17,17 @@
 from dotterelgate_core.peers import PeerTable
 from dotterelgate_core.probing import MEASURING_RESOURCES
 from dotterelgate_core.state import DaemonState, Limits, LogPosition
+from dotterelgate_daemon.common_parts import lay_foundation
 from dotterelgate_daemon.dialect import DIALECT
 from dotterelgate_daemon.endpoint import Endpoint, serve_endpoint
 from dotterelgate_daemon.explanation import describe_daemon, explain_route
 from dotterelgate_daemon.following import Follower
-from dotterelgate_daemon.foundation import lay_foundation
-from dotterelgate_daemon.handing import KeyHanding
+from dotterelgate_daemon.key_transfer import KeyHanding
 from dotterelgate_daemon.links import LinkService
 from dotterelgate_daemon.log_service import LogClient, VmListClient
-from dotterelgate_daemon.measuring import Prober
 from dotterelgate_daemon.peering import Peering
 from dotterelgate_daemon.platform import PlatformClient
+from dotterelgate_daemon.prober import Prober
 from dotterelgate_daemon.running import Daemon
 from dotterelgate_daemon.stopping import GracefulStop
 
@@ -36,8 +36,8 @@
 
     from dotterelgate_border.handover import PeerMessage
     from dotterelgate_border.settings import DaemonSettings
-    from dotterelgate_daemon.foundation import Foundation
-    from dotterelgate_daemon.journal import LineBuffer
+    from dotterelgate_daemon.common_parts import Foundation
+    from dotterelgate_daemon.log_output import LineBuffer
 
 __all__ = ["build_daemon"]
 
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/command.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/command.py
@@ -11,7 +11,7 @@
 from dotterelgate_border.problems import InvalidDocumentError
 from dotterelgate_border.settings import DaemonSettings, read_settings
 from dotterelgate_daemon.assembly import build_daemon
-from dotterelgate_daemon.journal import set_up_logging
+from dotterelgate_daemon.log_output import set_up_logging
 from dotterelgate_daemon.reloading import make_reload
 
 __all__ = ["main"]
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/foundation.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/common_parts.py
@@ -10,7 +10,7 @@
 from dotterelgate_daemon.callers import CallerGate
 from dotterelgate_daemon.exchanges import PoolTable
 from dotterelgate_daemon.gateway import Gateway
-from dotterelgate_daemon.journal import make_decision_writer
+from dotterelgate_daemon.log_output import make_decision_writer
 from dotterelgate_daemon.metrics import Metrics
 from dotterelgate_daemon.polling import DirectPoller
 from dotterelgate_daemon.streams import StreamService
@@ -24,7 +24,7 @@
     from dotterelgate_core.pipes import Filter
     from dotterelgate_core.state import DaemonState
     from dotterelgate_daemon.dialect import Dialect
-    from dotterelgate_daemon.journal import LineBuffer
+    from dotterelgate_daemon.log_output import LineBuffer
 
 __all__ = ["Foundation", "lay_foundation"]
 
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/configuration_following.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/configuration_following.py
@@ -10,8 +10,8 @@
 
 from dotterelgate_border.datagrams import ConfigurationNews, Heartbeat, NewsAsked
 from dotterelgate_core.codes import Refusal
-from dotterelgate_core.reading import ConfigurationReadEnded, ConfigurationReadFailed
 from dotterelgate_core.store_control import ConfigurationStored
+from dotterelgate_core.store_reading import ConfigurationReadEnded, ConfigurationReadFailed
 from dotterelgate_daemon.keyed_reading import Dependency, KeyedReader
 from dotterelgate_daemon.store import StoreRecord, Topic
 
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/endpoint.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/endpoint.py
@@ -6,12 +6,12 @@
 from http import HTTPStatus
 from typing import TYPE_CHECKING
 
-from dotterelgate_daemon.serving import HttpServer, answer_json
+from dotterelgate_daemon.http_server import HttpServer, answer_json
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from dotterelgate_daemon.serving import Asked
+    from dotterelgate_daemon.http_server import Asked
     from dotterelgate_daemon.streams import StreamService
 
 __all__ = ["Endpoint", "serve_endpoint"]
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/keyed_reading.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/keyed_reading.py
@@ -8,8 +8,8 @@
 
 import structlog
 
+from dotterelgate_core.backoff import find_pause
 from dotterelgate_core.codes import Refusal
-from dotterelgate_core.pauses import find_pause
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/registry_following.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/registry_following.py
@@ -14,8 +14,8 @@
     RegistryNews,
 )
 from dotterelgate_core.codes import Refusal
-from dotterelgate_core.reading import NewsHeard, RegistryReadEnded, RegistryReadFailed
 from dotterelgate_core.registry import RegistrationRead, RegistryListed
+from dotterelgate_core.store_reading import NewsHeard, RegistryReadEnded, RegistryReadFailed
 from dotterelgate_daemon.keyed_reading import Dependency, KeyedReader
 from dotterelgate_daemon.store import StoreRecord, Topic
 
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/running.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/running.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from dotterelgate_daemon.journal import LineBuffer
+    from dotterelgate_daemon.log_output import LineBuffer
     from dotterelgate_daemon.timers import TimerService
 
 __all__ = ["Daemon"]
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/store_assembly.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/store_assembly.py
@@ -15,21 +15,21 @@
 from dotterelgate_core.leases import LeaseTable
 from dotterelgate_core.messages import Decision, SlotFreed
 from dotterelgate_core.peers import PeerTable
-from dotterelgate_core.reading import ReadConfiguration, ReadingState, ReadRegistry
 from dotterelgate_core.registry import RegistryState
 from dotterelgate_core.retries import BudgetTable
 from dotterelgate_core.splits import SplitTable
 from dotterelgate_core.state import DaemonState, Limits
 from dotterelgate_core.store_control import make_store_pipeline
+from dotterelgate_core.store_reading import ReadConfiguration, ReadingState, ReadRegistry
+from dotterelgate_daemon.common_parts import lay_foundation
 from dotterelgate_daemon.configuration_following import ConfigurationFollower
 from dotterelgate_daemon.directory import DaemonDirectory
 from dotterelgate_daemon.endpoint import Endpoint, serve_endpoint
 from dotterelgate_daemon.explanation import describe_front, explain_route
-from dotterelgate_daemon.foundation import lay_foundation
 from dotterelgate_daemon.keyed_reading import StoreAccess
-from dotterelgate_daemon.measuring import Prober
 from dotterelgate_daemon.mesh import Mesh
 from dotterelgate_daemon.platform import PlatformClient
+from dotterelgate_daemon.prober import Prober
 from dotterelgate_daemon.registry_following import RegistryFollower
 from dotterelgate_daemon.running import Daemon
 from dotterelgate_daemon.slot_exchange import SlotExchange
@@ -41,9 +41,9 @@
     from dotterelgate_border.datagrams import Datagram
     from dotterelgate_border.settings import StoreDaemonSettings
     from dotterelgate_core.pipes import Filter, Message
+    from dotterelgate_daemon.common_parts import Foundation
     from dotterelgate_daemon.dialect import Dialect
-    from dotterelgate_daemon.foundation import Foundation
-    from dotterelgate_daemon.journal import LineBuffer
+    from dotterelgate_daemon.log_output import LineBuffer
     from dotterelgate_daemon.store import StoreCalls
 
 __all__ = ["build_store_daemon"]
