--- a/features/steps/front_steps.py
+++ b/features/steps/front_steps.py
@@ -150,7 +150,7 @@
             call_id=call_id,
             server=server,
             sent=sent,
-            passed_on=False,
+            relay_started=False,
             refusal=Refusal(codes.ANSWER_LOST, "the connection broke"),
         )
     )
@@ -182,7 +182,7 @@
 @then("the request is {end}")
 def check_end(context, end):
     again = find(context.orders, messages.Dispatch)
-    refused = find(context.orders, messages.CallRefused)
+    refused = find(context.orders, messages.RefuseCall)
     if end == "dispatched again":
         assert again is not None and again.server.name != context.first, context.orders
     elif end == "passed on":
@@ -205,7 +205,7 @@
             orders = context.front.answer(call_id, name, status=503, ran=False, load=NOT_FULL)
             dispatched = find(orders, messages.Dispatch)
         context.again += max(0, sent - 1)
-        context.refusals.append(find(orders, messages.CallRefused).refusal)
+        context.refusals.append(find(orders, messages.RefuseCall).refusal)
         context.front.now += 0.01
 
 
@@ -240,7 +240,7 @@
     context.left = {}
     for method in ("read", "write"):
         call_id, _ = context.front.arrive(f"/{method}/x")
-        left = messages.CallerLeft(now=context.front.now, call_id=call_id)
+        left = messages.CallerDisconnected(now=context.front.now, call_id=call_id)
         context.left[method] = context.front.run(left)
 
 
@@ -252,7 +252,7 @@
 
 @when("{count:d} reads come at once")
 def come_at_once(context, count):
-    context.refused = [find(context.front.arrive()[1], messages.CallRefused) for _ in range(count)]
+    context.refused = [find(context.front.arrive()[1], messages.RefuseCall) for _ in range(count)]
 
 
 @then("each is refused with 503 at once")
@@ -384,7 +384,7 @@
 
 @then("it is refused with 502 and an unknown outcome")
 def check_unknown(context):
-    refusal = find(context.orders, messages.CallRefused).refusal
+    refusal = find(context.orders, messages.RefuseCall).refusal
     assert refusal.code.status == 502, refusal
     assert refusal.outcome is codes.Outcome.UNKNOWN, refusal
 
--- a/features/steps/slot_steps.py
+++ b/features/steps/slot_steps.py
@@ -138,7 +138,7 @@
     front = context.front
     call_id, orders = front.arrive("/write/x")
     assert find(orders, AskSlot) is not None
-    front.run(messages.CallerLeft(now=front.now, call_id=call_id))
+    front.run(messages.CallerDisconnected(now=front.now, call_id=call_id))
     front.now += TICK_SECONDS
     context.after = list(front.tick())
     context.after += grant(front, call_id, "i-1")
--- a/features/subjects/core.py
+++ b/features/subjects/core.py
@@ -83,6 +83,6 @@
     def find_refusal(self, call_id):
         """Find what a call was refused with."""
         for order in self.orders:
-            if isinstance(order, messages.CallRefused) and order.call_id == call_id:
+            if isinstance(order, messages.RefuseCall) and order.call_id == call_id:
                 return order.refusal
         raise AssertionError(f"call {call_id} was not refused: {self.orders}")
--- a/features/subjects/front.py
+++ b/features/subjects/front.py
@@ -140,10 +140,10 @@
         arrived = messages.CallArrived(now=self.now, wall=self.now, call=call)
         return self.next_id, self.run(arrived)
 
-    def answer(self, call_id, server, *, status=200, ran=True, load=None, kept="answer"):
+    def answer(self, call_id, server, *, status=200, ran=True, load=None, stored_answer="answer"):
         """Let a backend server answer."""
         return self.run(
-            messages.Answered(
+            messages.ServerAnswered(
                 now=self.now,
                 wall=self.now,
                 call_id=call_id,
@@ -151,7 +151,7 @@
                 status=status,
                 ran=ran,
                 report=messages.ServerReport(load=load),
-                kept=kept,
+                stored_answer=stored_answer,
             )
         )
 
--- a/features/subjects/front_schedules.py
+++ b/features/subjects/front_schedules.py
@@ -96,7 +96,7 @@
             call_id=call_id,
             server=server,
             sent=sent,
-            passed_on=False,
+            relay_started=False,
             refusal=Refusal(codes.ANSWER_LOST, "the connection broke"),
         )
         self._take(self._front.run(failed))
@@ -104,7 +104,7 @@
     def _leave_caller(self):
         call_id, _ = self._pick()
         if call_id is not None:
-            left = messages.CallerLeft(now=self._front.now, call_id=call_id)
+            left = messages.CallerDisconnected(now=self._front.now, call_id=call_id)
             self._take(self._front.run(left))
 
     def _change_entry(self):
@@ -143,7 +143,7 @@
                 self._take_dispatch(order)
             elif isinstance(order, messages.Cancel):
                 self._open.pop(order.call_id, None)
-            elif isinstance(order, messages.CallRefused):
+            elif isinstance(order, messages.RefuseCall):
                 self._check_refusal(order)
 
     def _take_dispatch(self, order):
--- a/features/subjects/schedules.py
+++ b/features/subjects/schedules.py
@@ -237,7 +237,7 @@
         daemon = self._daemons[self._random.choice(DAEMONS)]
         is_answered = [False]
 
-        def reply(refusal, kept):
+        def reply(refusal, stored_answer):
             if is_answered[0]:
                 return
             is_answered[0] = True
@@ -265,8 +265,8 @@
 
         def send():
             self._accepted[attempt] = self._clock.now
-            waited = self._clock.now - sent_at if self.weakening.staleness else 0.0
-            daemon.call({**fields, "waited": waited}, attempt, reply)
+            unread_wait = self._clock.now - sent_at if self.weakening.staleness else 0.0
+            daemon.call({**fields, "unread_wait": unread_wait}, attempt, reply)
 
         daemon.receive(send)
         self._clock.schedule(3.0, time_out)
--- a/features/subjects/zone.py
+++ b/features/subjects/zone.py
@@ -215,7 +215,7 @@
                 )
             elif isinstance(order, messages.Relay):
                 self._count_answer(self._calls[(id(front), order.call_id)])
-            elif isinstance(order, messages.CallRefused):
+            elif isinstance(order, messages.RefuseCall):
                 self._count_refusal((id(front), order.call_id), order)
             elif isinstance(order, messages.Cancel):
                 self._cancel((id(front), order.call_id))
@@ -258,7 +258,7 @@
         else:
             self.late += 1
 
-    def _count_refusal(self, key: tuple, order: messages.CallRefused) -> None:
+    def _count_refusal(self, key: tuple, order: messages.RefuseCall) -> None:
         asked = self._calls[key]
         if order.refusal.outcome.value != "not-run":
             self.lost += 1
--- a/features/subjects/zone_schedules.py
+++ b/features/subjects/zone_schedules.py
@@ -217,7 +217,7 @@
             call_id=call_id,
             server=server,
             sent=sent,
-            passed_on=False,
+            relay_started=False,
             refusal=Refusal(codes.ANSWER_LOST, "the connection broke"),
         )
         self._take(name, self._fronts[name].run(failed))
@@ -229,7 +229,9 @@
         front = self._fronts[name]
         own = [each for each, call in front.state.calls.states.items() if call.asker is None]
         if own:
-            left = messages.CallerLeft(now=self.now, call_id=self._random.choice(sorted(own)))
+            left = messages.CallerDisconnected(
+                now=self.now, call_id=self._random.choice(sorted(own))
+            )
             self._take(name, front.run(left))
 
     def _change_entry(self):
@@ -285,7 +287,7 @@
                 self._take_dispatch(name, order)
             elif isinstance(order, messages.Cancel):
                 self._open.pop(order.call_id, None)
-            elif isinstance(order, messages.CallRefused):
+            elif isinstance(order, messages.RefuseCall):
                 self._check_refusal(order)
             elif isinstance(order, SLOT_ORDERS):
                 receiver, message = address_order(name, order, self.now)
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/model.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/model.py
@@ -225,9 +225,9 @@
             messages.Forward: self._forward,
             messages.Cancel: self._cancel,
             messages.Relay: lambda order: self._answer(order.call_id, None, "answer"),
-            messages.Replay: lambda order: self._answer(order.call_id, None, order.kept),
-            messages.CallRefused: self._refuse,
-            messages.CallEnded: self._end,
+            messages.Replay: lambda order: self._answer(order.call_id, None, order.stored_answer),
+            messages.RefuseCall: self._refuse,
+            messages.ReleaseCall: self._end,
             AppendClaims: self._append_claims,
         }
 
@@ -285,7 +285,7 @@
 
     def leave(self, call_id: int) -> None:
         """Note that the caller left."""
-        self._run(messages.CallerLeft(now=self.clock.now, call_id=call_id))
+        self._run(messages.CallerDisconnected(now=self.clock.now, call_id=call_id))
 
     def wall(self) -> float:
         """Read this daemon's wall clock."""
@@ -364,7 +364,7 @@
             if not cancelled[0]:
                 self._hear(
                     name,
-                    lambda: messages.Answered(
+                    lambda: messages.ServerAnswered(
                         now=self.clock.now,
                         wall=self.wall(),
                         call_id=order.call_id,
@@ -372,7 +372,7 @@
                         status=200,
                         ran=ran,
                         report=report,
-                        kept="kept",
+                        stored_answer="kept",
                     ),
                 )
 
@@ -408,7 +408,7 @@
                 call_id=call_id,
                 server=server,
                 sent=True,
-                passed_on=False,
+                relay_started=False,
                 refusal=refusal,
             )
         )
@@ -429,7 +429,7 @@
         }
         answered = [False]
 
-        def reply(refusal: Refusal | None, kept: object | None) -> None:
+        def reply(refusal: Refusal | None, stored_answer: object | None) -> None:
             def build() -> messages.PeerAnswered:
                 answered[0] = True
                 return messages.PeerAnswered(
@@ -437,7 +437,7 @@
                     call_id=order.call_id,
                     peer=order.peer,
                     refusal=refusal,
-                    kept=kept,
+                    stored_answer=stored_answer,
                 )
 
             self._hear(order.peer, build)
@@ -475,18 +475,18 @@
         if pending is not None and pending.cancel is not None:
             pending.cancel()
 
-    def _refuse(self, order: messages.CallRefused) -> None:
+    def _refuse(self, order: messages.RefuseCall) -> None:
         pending = self._pending.get(order.call_id)
         if pending is None:
             return
-        if not order.runs_on:
+        if not order.awaits_answer:
             del self._pending[order.call_id]
         pending.reply(order.refusal, None)
 
-    def _end(self, order: messages.CallEnded) -> None:
+    def _end(self, order: messages.ReleaseCall) -> None:
         self._pending.pop(order.call_id, None)
 
-    def _answer(self, call_id: int, refusal: Refusal | None, kept: object | None) -> None:
+    def _answer(self, call_id: int, refusal: Refusal | None, stored_answer: object | None) -> None:
         pending = self._pending.pop(call_id, None)
         if pending is not None:
-            pending.reply(refusal, kept)
+            pending.reply(refusal, stored_answer)
--- a/packages/dotterelgate-border/src/dotterelgate_border/handover.py
+++ b/packages/dotterelgate-border/src/dotterelgate_border/handover.py
@@ -126,7 +126,7 @@
     fingerprint: int
     state: str
     age: float
-    kept: bytes | None
+    stored_answer: bytes | None
     code: int
 
 
--- a/packages/dotterelgate-core/src/dotterelgate_core/admission.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/admission.py
@@ -6,7 +6,7 @@
 
 from dotterelgate_core import codes
 from dotterelgate_core.codes import Refusal
-from dotterelgate_core.messages import CallRouted, Decision, Settled, SlotFreed, Ticked
+from dotterelgate_core.messages import CallRouted, CallSettled, Decision, SlotFreed, Ticked
 from dotterelgate_core.retry_after import advise_return
 from dotterelgate_core.sharing import free_slots
 
@@ -166,5 +166,5 @@
     )
     return [
         decision,
-        Settled(now=now, call_id=call_state.call.id, refusal=refusal, ran=False),
+        CallSettled(now=now, call_id=call_state.call.id, refusal=refusal, ran=False),
     ]
--- a/packages/dotterelgate-core/src/dotterelgate_core/asking.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/asking.py
@@ -8,7 +8,7 @@
 from dotterelgate_core import codes
 from dotterelgate_core.admission import note_admitted
 from dotterelgate_core.binding import dispatch_call
-from dotterelgate_core.messages import CallRouted, Decision, Settled, Ticked
+from dotterelgate_core.messages import CallRouted, CallSettled, Decision, Ticked
 from dotterelgate_core.owners import find_owner
 from dotterelgate_core.slots import (
     AskSlot,
@@ -190,7 +190,7 @@
         service=call_state.routed.service.name,
         facts={"owner": question.owner, "attempts": call_state.attempts},
     )
-    settled = Settled(now=denied.now, call_id=denied.call_id, refusal=denied.refusal, ran=False)
+    settled = CallSettled(now=denied.now, call_id=denied.call_id, refusal=denied.refusal, ran=False)
     return [decision, settled]
 
 
--- a/packages/dotterelgate-core/src/dotterelgate_core/engine.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/engine.py
@@ -40,11 +40,11 @@
 ) -> Filter:
     """Make the pipeline from what happens to a call to the orders for it.
 
-    It reads ``CallArrived``, ``CallerLeft``, ``Answered``, ``DispatchFailed``,
+    It reads ``CallArrived``, ``CallerDisconnected``, ``ServerAnswered``, ``DispatchFailed``,
     ``PeerAnswered``, ``PeerFailed``, ``SlotFreed``, ``SlotAsked``, ``SlotGranted``,
     ``SlotQueued``, ``SlotDenied``, ``SlotWithdrawn`` and ``Ticked``. It writes
     ``Dispatch``, ``Forward``, ``Cancel``, ``Relay``, ``Replay``, ``AskSlot``,
-    ``GrantSlot``, ``QueueSlot``, ``DenySlot``, ``WithdrawSlot``, ``CallRefused`` and
+    ``GrantSlot``, ``QueueSlot``, ``DenySlot``, ``WithdrawSlot``, ``RefuseCall`` and
     ``Decision``.
 
     :param state: the daemon's state
--- a/packages/dotterelgate-core/src/dotterelgate_core/granting.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/granting.py
@@ -7,7 +7,7 @@
 
 from dotterelgate_core import codes
 from dotterelgate_core.codes import Refusal
-from dotterelgate_core.messages import Call, CallRouted, Settled, Ticked
+from dotterelgate_core.messages import Call, CallRouted, CallSettled, Ticked
 from dotterelgate_core.slots import (
     DenySlot,
     GrantSlot,
@@ -65,14 +65,14 @@
             if call_state is not None:
                 granting.granted[message.call_id] = (call_state.sent_at, message)
             return (message,)
-        if isinstance(message, Settled):
+        if isinstance(message, CallSettled):
             return _reply_settled(state, message)
         return (message,)
 
     return reply
 
 
-def _reply_settled(state: DaemonState, settled: Settled) -> list[Message]:
+def _reply_settled(state: DaemonState, settled: CallSettled) -> list[Message]:
     call_state = state.calls.states.get(settled.call_id)
     if call_state is None or call_state.asker is None or settled.refusal is None:
         return [settled]
--- a/packages/dotterelgate-core/src/dotterelgate_core/holding.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/holding.py
@@ -17,13 +17,13 @@
 )
 from dotterelgate_core.messages import (
     CallParked,
-    CallRefused,
     CallRouted,
+    CallSettled,
     Decision,
     Forward,
     Purpose,
+    RefuseCall,
     Replay,
-    Settled,
     Ticked,
 )
 
@@ -57,7 +57,7 @@
     """Make the filter that notes what became of each key and tells joined calls."""
 
     def settle(message: Message) -> Iterable[Message]:
-        if isinstance(message, Settled):
+        if isinstance(message, CallSettled):
             return _settle_key(state, message)
         return (message,)
 
@@ -102,7 +102,7 @@
         return [routed]
     if call.streamed:
         refusal = Refusal(codes.BODY_TOO_LARGE, "a request with a key must fit the body limit")
-        return [CallRefused(call_id=call.id, refusal=speak_for_attempt(refusal))]
+        return [RefuseCall(call_id=call.id, refusal=speak_for_attempt(refusal))]
     digest = digest_key(routed.service.name, call.key or "")
     resource = find_range(digest, state.limits.key_ranges)
     if state.leases.holds(resource, routed.now, routed.wall):
@@ -146,7 +146,7 @@
         parked[call.id] = routed
         return []
     refusal = Refusal(codes.NO_HOLDER, f"no daemon holds {resource} at the moment")
-    return [CallRefused(call_id=call.id, refusal=refusal)]
+    return [RefuseCall(call_id=call.id, refusal=refusal)]
 
 
 def _park_again(
@@ -180,7 +180,7 @@
         return _answer_from_entry(routed, call_state, entry)
     refusal = _refuse_key(state, key_range, routed)
     if refusal is not None:
-        return [CallRefused(call_id=routed.call.id, refusal=refusal)]
+        return [RefuseCall(call_id=routed.call.id, refusal=refusal)]
     key_range.entries[digest] = KeyEntry(
         state=KeyState.RUNNING,
         fingerprint=routed.call.fingerprint,
@@ -219,7 +219,7 @@
     call_id = routed.call.id
     if entry.fingerprint != routed.call.fingerprint:
         refusal = Refusal(codes.KEY_CONFLICT, "the key was used before with another request")
-        return [CallRefused(call_id=call_id, refusal=refusal)]
+        return [RefuseCall(call_id=call_id, refusal=refusal)]
     if entry.state is KeyState.RUNNING:
         entry.joined.append(call_id)
         call_state.joined = True
@@ -233,18 +233,18 @@
         ]
     if entry.state is KeyState.UNKNOWN:
         refusal = entry.refusal or Refusal(codes.ANSWER_LOST, "the outcome is not known")
-        return [CallRefused(call_id=call_id, refusal=refusal)]
+        return [RefuseCall(call_id=call_id, refusal=refusal)]
     return [_repeat_answer(call_id, entry)]
 
 
 def _repeat_answer(call_id: int, entry: KeyEntry) -> Message:
-    if entry.kept is not None:
-        return Replay(call_id=call_id, kept=entry.kept)
+    if entry.stored_answer is not None:
+        return Replay(call_id=call_id, stored_answer=entry.stored_answer)
     refusal = Refusal(codes.RAN_ALREADY, "the request ran; its answer is not kept")
-    return CallRefused(call_id=call_id, refusal=refusal)
+    return RefuseCall(call_id=call_id, refusal=refusal)
 
 
-def _settle_key(state: DaemonState, settled: Settled) -> list[Message]:
+def _settle_key(state: DaemonState, settled: CallSettled) -> list[Message]:
     call_state = state.calls.states.get(settled.call_id)
     if call_state is None or call_state.digest is None:
         return [settled]
@@ -261,12 +261,12 @@
 
 
 def _settle_entry(
-    state: DaemonState, entries: dict[int, KeyEntry], digest: int, settled: Settled
+    state: DaemonState, entries: dict[int, KeyEntry], digest: int, settled: CallSettled
 ) -> None:
     entry = entries[digest]
     if settled.ran:
         entry.state = KeyState.RAN
-        entry.kept = settled.kept
+        entry.stored_answer = settled.stored_answer
     elif settled.ran is None:
         entry.state = KeyState.UNKNOWN
         entry.refusal = settled.refusal
@@ -275,7 +275,7 @@
         state.keys.size -= 1
 
 
-def _tell_joined(call_id: int, entry: KeyEntry, settled: Settled) -> Message:
+def _tell_joined(call_id: int, entry: KeyEntry, settled: CallSettled) -> Message:
     if settled.ran or settled.refusal is None:
         return _repeat_answer(call_id, entry)
-    return CallRefused(call_id=call_id, refusal=settled.refusal)
+    return RefuseCall(call_id=call_id, refusal=settled.refusal)
--- a/packages/dotterelgate-core/src/dotterelgate_core/keys.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/keys.py
@@ -35,7 +35,7 @@
     :param seen_at: monotonic second at which it was last changed
     :param call_id: the call that runs it
     :param joined: calls that wait for the same answer
-    :param kept: the answer, when small enough
+    :param stored_answer: the answer, when small enough
     :param refusal: what later callers are told when the outcome is unknown
     """
 
@@ -44,7 +44,7 @@
     seen_at: float
     call_id: int
     joined: list[int] = field(default_factory=list)
-    kept: object | None = None
+    stored_answer: object | None = None
     refusal: Refusal | None = None
 
 
--- a/packages/dotterelgate-core/src/dotterelgate_core/learning.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/learning.py
@@ -6,7 +6,7 @@
 
 if TYPE_CHECKING:
     from dotterelgate_core.calls import CallState
-    from dotterelgate_core.messages import Answered
+    from dotterelgate_core.messages import ServerAnswered
     from dotterelgate_core.servers import ServerState
     from dotterelgate_core.state import DaemonState
 
@@ -19,7 +19,7 @@
     state: DaemonState,
     server: ServerState,
     call_state: CallState,
-    message: Answered,
+    message: ServerAnswered,
     seconds: float,
 ) -> None:
     """Note load, pace and success of an answer.
--- a/packages/dotterelgate-core/src/dotterelgate_core/messages.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/messages.py
@@ -14,14 +14,12 @@
     from dotterelgate_core.loads import LoadReport
 
 __all__ = [
-    "Answered",
     "Call",
     "CallArrived",
-    "CallEnded",
     "CallParked",
-    "CallRefused",
     "CallRouted",
-    "CallerLeft",
+    "CallSettled",
+    "CallerDisconnected",
     "Cancel",
     "Decision",
     "Dispatch",
@@ -30,10 +28,12 @@
     "PeerAnswered",
     "PeerFailed",
     "Purpose",
+    "RefuseCall",
     "Relay",
+    "ReleaseCall",
     "Replay",
+    "ServerAnswered",
     "ServerReport",
-    "Settled",
     "SlotFreed",
     "Ticked",
 ]
@@ -59,7 +59,7 @@
     :param timeout: seconds that the caller still waits, if it said so
     :param streamed: whether the body is too large to be kept
     :param retried: whether a caller further up retries already
-    :param waited: seconds that it may have waited unread while the daemon was paused
+    :param unread_wait: seconds that it may have waited unread while the daemon was paused
     :param purpose: why a peer handed it over; ``None`` when from a caller
     :param holder: daemon that holds its key and fences it, if it was held before
     :param fence: wall-clock second after which it must not start, if held
@@ -75,7 +75,7 @@
     timeout: float | None = None
     streamed: bool = False
     retried: bool = False
-    waited: float = 0.0
+    unread_wait: float = 0.0
     purpose: Purpose | None = None
     holder: str | None = None
     fence: float | None = None
@@ -117,7 +117,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class CallerLeft:
+class CallerDisconnected:
     """The caller closed its connection or the peer cancelled."""
 
     now: float
@@ -139,12 +139,12 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Answered:
+class ServerAnswered:
     """A backend server's answer arrived whole.
 
     :param wall: wall-clock second at which it arrived
     :param ran: ``False`` when the backend server said that it did not run it
-    :param kept: the answer if small enough to be kept for a key, else ``None``
+    :param stored_answer: the answer if small enough to be kept for a key, else ``None``
     """
 
     now: float
@@ -154,7 +154,7 @@
     status: int
     ran: bool
     report: ServerReport
-    kept: object | None = None
+    stored_answer: object | None = None
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -162,14 +162,14 @@
     """A dispatched request got no whole answer.
 
     :param sent: whether the backend server may have read the whole request head
-    :param passed_on: whether part of the answer went to the caller already
+    :param relay_started: whether part of the answer went to the caller already
     """
 
     now: float
     call_id: int
     server: str
     sent: bool
-    passed_on: bool
+    relay_started: bool
     refusal: Refusal
 
 
@@ -178,14 +178,14 @@
     """A peer handed back a backend server's answer or its own refusal.
 
     :param refusal: the peer's refusal, or ``None`` when the answer arrived whole
-    :param kept: the answer if small enough to be kept for a key, else ``None``
+    :param stored_answer: the answer if small enough to be kept for a key, else ``None``
     """
 
     now: float
     call_id: int
     peer: str
     refusal: Refusal | None = None
-    kept: object | None = None
+    stored_answer: object | None = None
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -193,14 +193,14 @@
     """A peer that a call was handed to cannot be reached.
 
     :param sent: whether the peer may have read the call
-    :param passed_on: whether part of the answer went to the caller already
+    :param relay_started: whether part of the answer went to the caller already
     """
 
     now: float
     call_id: int
     peer: str
     sent: bool
-    passed_on: bool = False
+    relay_started: bool = False
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -219,7 +219,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Settled:
+class CallSettled:
     """A call reached its end; filters that kept state for it let go.
 
     :param ran: whether it ran; ``None`` when that is not known
@@ -229,7 +229,7 @@
     call_id: int
     refusal: Refusal | None
     ran: bool | None
-    kept: object | None = None
+    stored_answer: object | None = None
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -288,23 +288,23 @@
     """Order to answer a call with an answer kept for its key."""
 
     call_id: int
-    kept: object
+    stored_answer: object
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class CallRefused:
+class RefuseCall:
     """Order to answer a call with a result code.
 
-    :param runs_on: whether its backend server's answer is still awaited
+    :param awaits_answer: whether its backend server's answer is still awaited
     """
 
     call_id: int
     refusal: Refusal
-    runs_on: bool = False
+    awaits_answer: bool = False
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class CallEnded:
+class ReleaseCall:
     """Order to let go of a call that nobody waits for any more."""
 
     call_id: int
--- a/packages/dotterelgate-core/src/dotterelgate_core/observing.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/observing.py
@@ -6,7 +6,7 @@
 
 from dotterelgate_core.control_messages import LeavingSeen
 from dotterelgate_core.learning import learn_from_answer
-from dotterelgate_core.messages import Answered, Decision, DispatchFailed, SlotFreed
+from dotterelgate_core.messages import Decision, DispatchFailed, ServerAnswered, SlotFreed
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -22,7 +22,7 @@
     """Make the filter that updates what is known of backend servers."""
 
     def observe(message: Message) -> Iterable[Message]:
-        if isinstance(message, Answered):
+        if isinstance(message, ServerAnswered):
             return _observe_answer(state, message)
         if isinstance(message, DispatchFailed):
             return _observe_failure(state, message)
@@ -31,7 +31,7 @@
     return observe
 
 
-def _observe_answer(state: DaemonState, message: Answered) -> list[Message]:
+def _observe_answer(state: DaemonState, message: ServerAnswered) -> list[Message]:
     call_state = state.calls.states.get(message.call_id)
     server = state.servers.states.get(message.server)
     if call_state is None:
--- a/packages/dotterelgate-core/src/dotterelgate_core/routes.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/routes.py
@@ -6,7 +6,7 @@
 
 from dotterelgate_core import codes
 from dotterelgate_core.codes import Refusal, speak_for_attempt
-from dotterelgate_core.messages import CallArrived, CallRefused, CallRouted
+from dotterelgate_core.messages import CallArrived, CallRouted, RefuseCall
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -49,8 +49,8 @@
     if found is None:
         return _refuse(call, codes.NO_ROUTE, f"no route for {call.method} {call.path}")
     service, route = found
-    if call.waited > UNREAD_LIMIT_SECONDS and not route.idempotent:
-        return _refuse(call, codes.STALE, f"may have waited {call.waited:.1f} s unread")
+    if call.unread_wait > UNREAD_LIMIT_SECONDS and not route.idempotent:
+        return _refuse(call, codes.STALE, f"may have waited {call.unread_wait:.1f} s unread")
     timeout = route.timeout if call.timeout is None else min(call.timeout, route.timeout)
     if timeout <= 0:
         return _refuse(call, codes.DEADLINE_PASSED, "the time limit had passed on arrival")
@@ -75,11 +75,11 @@
     return state.configuration.find_service(name) or service
 
 
-def _refuse(call: Call, code: ResultCode, reason: str) -> CallRefused:
+def _refuse(call: Call, code: ResultCode, reason: str) -> RefuseCall:
     refusal = Refusal(code, reason)
     if call.key is not None:
         refusal = speak_for_attempt(refusal)
-    return CallRefused(call_id=call.id, refusal=refusal)
+    return RefuseCall(call_id=call.id, refusal=refusal)
 
 
 def _matches(route: Route, call: Call) -> bool:
--- a/packages/dotterelgate-core/src/dotterelgate_core/settling.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/settling.py
@@ -10,19 +10,19 @@
 from dotterelgate_core.codes import Refusal
 from dotterelgate_core.learning import FIRST_FAILURE_STATUS
 from dotterelgate_core.messages import (
-    Answered,
-    CallEnded,
-    CallerLeft,
+    CallerDisconnected,
     CallParked,
-    CallRefused,
+    CallSettled,
     Cancel,
     Decision,
     DispatchFailed,
     PeerAnswered,
     PeerFailed,
+    RefuseCall,
     Relay,
+    ReleaseCall,
     Replay,
-    Settled,
+    ServerAnswered,
     SlotFreed,
     Ticked,
 )
@@ -47,7 +47,7 @@
     """Make the filter from outcomes to settled or retried calls."""
 
     def settle(message: Message) -> Iterable[Message]:
-        if isinstance(message, Answered):
+        if isinstance(message, ServerAnswered):
             return _settle_answer(state, message)
         if isinstance(message, DispatchFailed):
             return _settle_failure(state, message)
@@ -55,7 +55,7 @@
             return _settle_peer_answer(state, message)
         if isinstance(message, PeerFailed):
             return _settle_peer_failure(state, message)
-        if isinstance(message, CallerLeft):
+        if isinstance(message, CallerDisconnected):
             return _settle_caller_left(state, message)
         if isinstance(message, Ticked):
             return [*_settle_deadlines(state, message.now), message]
@@ -64,28 +64,28 @@
     return settle
 
 
-def _settle_answer(state: DaemonState, message: Answered) -> list[Message]:
+def _settle_answer(state: DaemonState, message: ServerAnswered) -> list[Message]:
     call_state = state.calls.states[message.call_id]
     if message.ran:
         if _is_worth_repeating(call_state, message) and _may_retry(state, call_state, message.now):
             call_state.may_have_run = True
             sentence = f"{message.server} answered {message.status}"
             return _try_again(call_state, message.now, sentence, message.server)
-        return _pass_on(message.now, message.call_id, message.server, message.kept)
+        return _pass_on(message.now, message.call_id, message.server, message.stored_answer)
     refusal = Refusal(codes.SHED, f"{message.server} said that it did not run the request")
     return _retry_or_refuse(state, call_state, message.now, refusal, message.server)
 
 
-def _pass_on(now: float, call_id: int, source: str, kept: object | None) -> list[Message]:
+def _pass_on(now: float, call_id: int, source: str, stored_answer: object | None) -> list[Message]:
     return [
-        Settled(now=now, call_id=call_id, refusal=None, ran=True, kept=kept),
+        CallSettled(now=now, call_id=call_id, refusal=None, ran=True, stored_answer=stored_answer),
         Relay(call_id=call_id, source=source),
     ]
 
 
 def _settle_failure(state: DaemonState, message: DispatchFailed) -> list[Message]:
     call_state = state.calls.states[message.call_id]
-    if message.passed_on:
+    if message.relay_started:
         return _end(message.now, message.call_id, message.refusal, ran=None)
     may_have_run = message.sent and not call_state.routed.route.idempotent
     if may_have_run:
@@ -96,8 +96,8 @@
     return _settle_unsent(state, call_state, message)
 
 
-def _is_worth_repeating(call_state: CallState, message: Answered) -> bool:
-    failed = message.status >= FIRST_FAILURE_STATUS and message.kept is not None
+def _is_worth_repeating(call_state: CallState, message: ServerAnswered) -> bool:
+    failed = message.status >= FIRST_FAILURE_STATUS and message.stored_answer is not None
     return failed and call_state.routed.route.idempotent
 
 
@@ -170,7 +170,7 @@
     call_state.peer = None
     refusal = message.refusal
     if refusal is None:
-        return _pass_on(message.now, message.call_id, message.peer, message.kept)
+        return _pass_on(message.now, message.call_id, message.peer, message.stored_answer)
     if refusal.code is codes.NO_HOLDER and call_state.call.purpose is None:
         return [CallParked(now=message.now, call_id=message.call_id)]
     if refusal.code is codes.STOPPING:
@@ -188,7 +188,7 @@
     held_elsewhere = call_state.call.key is not None and call_state.digest is None
     if held_elsewhere and not call_state.routed.route.idempotent:
         return _settle_holder_failure(message, call_state)
-    if message.passed_on or (message.sent and not call_state.routed.route.idempotent):
+    if message.relay_started or (message.sent and not call_state.routed.route.idempotent):
         refusal = Refusal(codes.PEER_LOST, f"{message.peer} stopped answering")
         return _end(message.now, message.call_id, refusal, ran=None)
     return _place_here(call_state, message.now)
@@ -212,7 +212,7 @@
     return [replace(call_state.routed, now=now), decision]
 
 
-def _settle_caller_left(state: DaemonState, message: CallerLeft) -> list[Message]:
+def _settle_caller_left(state: DaemonState, message: CallerDisconnected) -> list[Message]:
     call_state = state.calls.states.get(message.call_id)
     if call_state is None:
         return []
@@ -243,7 +243,7 @@
     if call_state.digest is not None:
         # The run goes on so that a repeat of the key can be told its answer.
         call_state.caller_left = True
-        return [CallRefused(call_id=call_state.call.id, refusal=refusal, runs_on=True)]
+        return [RefuseCall(call_id=call_state.call.id, refusal=refusal, awaits_answer=True)]
     return _give_up(state, call_state, now, refusal)
 
 
@@ -265,44 +265,44 @@
         messages.append(SlotFreed(now=now, service=call_state.routed.service.name))
     call_state.queued = False
     ran = None if messages else False
-    return [*messages, Settled(now=now, call_id=call_id, refusal=refusal, ran=ran)]
+    return [*messages, CallSettled(now=now, call_id=call_id, refusal=refusal, ran=ran)]
 
 
 def _end(now: float, call_id: int, refusal: Refusal, *, ran: bool | None) -> list[Message]:
-    return [Settled(now=now, call_id=call_id, refusal=refusal, ran=ran)]
+    return [CallSettled(now=now, call_id=call_id, refusal=refusal, ran=ran)]
 
 
 def make_finishing_filter(state: DaemonState) -> Filter:
     """Make the filter that turns settled calls into answers and lets go of them."""
 
     def finish(message: Message) -> Iterable[Message]:
-        if isinstance(message, Settled):
+        if isinstance(message, CallSettled):
             return _finish_settled(state, message)
-        if isinstance(message, (CallRefused, Replay)):
+        if isinstance(message, (RefuseCall, Replay)):
             return _finish_answered(state, message)
         if isinstance(message, Relay):
             call_state = state.calls.states.pop(message.call_id, None)
             if call_state is None or call_state.caller_left:
-                return (CallEnded(call_id=message.call_id),)
+                return (ReleaseCall(call_id=message.call_id),)
         return (message,)
 
     return finish
 
 
-def _finish_settled(state: DaemonState, settled: Settled) -> list[Message]:
+def _finish_settled(state: DaemonState, settled: CallSettled) -> list[Message]:
     if settled.refusal is None:
         return []
     call_state = state.calls.states.pop(settled.call_id, None)
     if call_state is None or call_state.caller_left:
-        return [CallEnded(call_id=settled.call_id)]
+        return [ReleaseCall(call_id=settled.call_id)]
     refusal = settled.refusal
     if call_state.may_have_run and refusal.outcome is codes.Outcome.NOT_RUN:
         refusal = Refusal(codes.REPEAT_FAILED, refusal.reason)
-    return [CallRefused(call_id=settled.call_id, refusal=refusal)]
+    return [RefuseCall(call_id=settled.call_id, refusal=refusal)]
 
 
-def _finish_answered(state: DaemonState, message: CallRefused | Replay) -> list[Message]:
-    if isinstance(message, CallRefused) and message.runs_on:
+def _finish_answered(state: DaemonState, message: RefuseCall | Replay) -> list[Message]:
+    if isinstance(message, RefuseCall) and message.awaits_answer:
         return [message]
     state.calls.states.pop(message.call_id, None)
     return [message]
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/callers.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/callers.py
@@ -48,7 +48,7 @@
     head: RequestHead
     body: bytearray = field(default_factory=bytearray)
     ended: bool = False
-    waited: float = 0.0
+    unread_wait: float = 0.0
     pending: PendingCall | None = None
 
 
@@ -134,7 +134,7 @@
         self._current: _Incoming | None = None
         self._refusal: Refusal | None = None
         self._chunked = False
-        self._waited = 0.0
+        self._unread_wait = 0.0
         self.idle_since = time.monotonic()
         self._reader = RequestReader(
             head_limit=gate.head_limit,
@@ -153,7 +153,7 @@
             self._gate.connections.discard(self)
 
     def _receive(self, data: bytes) -> None:
-        self._waited = self._gate.watch.measure()
+        self._unread_wait = self._gate.watch.measure()
         self._reader.feed(data)
         self._hold_back()
 
@@ -165,7 +165,7 @@
             self._gate.gateway.leave(current.pending.call.id)
 
     def _begin(self, head: RequestHead) -> None:
-        self._arriving = _Incoming(head=head, waited=self._waited)
+        self._arriving = _Incoming(head=head, unread_wait=self._unread_wait)
         self._waiting.append(self._arriving)
         if head.expects_continue and len(self._waiting) == 1 and self._current is None:
             self._stream.write(CONTINUE)
@@ -256,7 +256,7 @@
             timeout=terms.timeout,
             streamed=streamed,
             retried=terms.retried,
-            waited=incoming.waited,
+            unread_wait=incoming.unread_wait,
             request_id=terms.request_id,
         )
 
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/gateway.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/gateway.py
@@ -43,7 +43,7 @@
 
     :param target: path and query
     :param body_ended: whether ``body`` is all of it
-    :param passed_on: whether part of an answer went out already
+    :param relay_started: whether part of an answer went out already
     :param peer: peer that it was handed to
     :param next_part: number of the next part expected from that peer
     """
@@ -61,7 +61,7 @@
     answer: bytearray = field(default_factory=bytearray)
     status: int = 0
     terms: AnswerTerms | None = None
-    passed_on: bool = False
+    relay_started: bool = False
     peer: str | None = None
     next_part: int = 0
     whole: KeptAnswer | None = None
@@ -118,8 +118,8 @@
             messages.Cancel: self._cancel,
             messages.Relay: self._relay,
             messages.Replay: self._replay,
-            messages.CallRefused: self._refuse,
-            messages.CallEnded: self._forget,
+            messages.RefuseCall: self._refuse,
+            messages.ReleaseCall: self._forget,
             messages.Decision: self._write_decision,
             LeavingSeen: lambda order: self.tell_leaving(order),
         }
@@ -149,7 +149,7 @@
             refusal = Refusal(codes.CALLER_GONE, "the caller left before its body was whole")
             pending.exchange.fail(refusal)
         pending.reply = SILENT_REPLY
-        self.run(messages.CallerLeft(now=time.monotonic(), call_id=call_id))
+        self.run(messages.CallerDisconnected(now=time.monotonic(), call_id=call_id))
 
     def run(self, message: Message) -> None:
         """Run a message through the pipeline and carry out the orders."""
@@ -254,14 +254,14 @@
         )
 
     def _take_answer(self, pending: PendingCall, part: bytes) -> None:
-        if pending.passed_on:
+        if pending.relay_started:
             pending.reply.part(part)
         else:
             pending.answer += part
             if len(pending.answer) <= self._keep_limit or _is_not_run(pending):
                 return
             assert pending.start is not None
-            pending.passed_on = True
+            pending.relay_started = True
             pending.reply.begin(pending.start)
             pending.reply.part(bytes(pending.answer))
             pending.answer.clear()
@@ -279,9 +279,9 @@
     def _finish_answer(self, pending: PendingCall, server: str) -> None:
         assert pending.start is not None and pending.terms is not None
         pending.exchange = None
-        if not pending.passed_on:
+        if not pending.relay_started:
             pending.whole = _keep(pending.start, pending.answer)
-        message = messages.Answered(
+        message = messages.ServerAnswered(
             now=time.monotonic(),
             wall=time.time(),
             call_id=pending.call.id,
@@ -289,7 +289,7 @@
             status=pending.status,
             ran=not pending.terms.not_run,
             report=pending.terms.report,
-            kept=self._remember(pending.whole),
+            stored_answer=self._remember(pending.whole),
         )
         self.run(message)
 
@@ -300,7 +300,7 @@
             call_id=pending.call.id,
             server=server,
             sent=end.sent,
-            passed_on=pending.passed_on,
+            relay_started=pending.relay_started,
             refusal=end.refusal,
         )
         self.run(message)
@@ -313,7 +313,7 @@
             now=time.monotonic(),
             call_id=pending.call.id,
             peer=peer,
-            kept=self._remember(whole),
+            stored_answer=self._remember(whole),
         )
         self.run(message)
 
@@ -336,7 +336,7 @@
             call_id=call_id,
             peer=peer,
             sent=sent,
-            passed_on=pending.passed_on,
+            relay_started=pending.relay_started,
         )
         self.run(message)
 
@@ -362,7 +362,7 @@
         pending = self.pending.pop(order.call_id, None)
         if pending is None:
             return
-        if pending.passed_on:
+        if pending.relay_started:
             pending.reply.end()
         else:
             assert pending.whole is not None
@@ -374,15 +374,15 @@
         pending = self.pending.pop(order.call_id, None)
         if pending is None:
             return
-        assert isinstance(order.kept, KeptAnswer)
-        pending.reply.send_whole(order.kept)
+        assert isinstance(order.stored_answer, KeptAnswer)
+        pending.reply.send_whole(order.stored_answer)
         self._count(pending, codes.OK.name)
 
-    def _refuse(self, order: messages.CallRefused) -> None:
+    def _refuse(self, order: messages.RefuseCall) -> None:
         pending = self.pending.get(order.call_id)
         if pending is None:
             return
-        if pending.passed_on:
+        if pending.relay_started:
             pending.reply.cut()
         else:
             pending.reply.refuse(order.refusal)
@@ -393,13 +393,13 @@
             outcome=order.refusal.outcome.value,
             retry_after=order.refusal.retry_after,
         )
-        if order.runs_on:
+        if order.awaits_answer:
             pending.reply = SILENT_REPLY
         else:
             del self.pending[order.call_id]
         self._count(pending, order.refusal.code.name)
 
-    def _forget(self, order: messages.CallEnded) -> None:
+    def _forget(self, order: messages.ReleaseCall) -> None:
         self.pending.pop(order.call_id, None)
 
     def _write_decision(self, decision: messages.Decision) -> None:
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/key_transfer.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/key_transfer.py
@@ -159,13 +159,17 @@
 
 
 def _encode_entry(digest: int, entry: KeyEntry, now: float) -> HandedKey:
-    kept = _encoder.encode(entry.kept) if isinstance(entry.kept, KeptAnswer) else None
+    stored_answer = (
+        _encoder.encode(entry.stored_answer)
+        if isinstance(entry.stored_answer, KeptAnswer)
+        else None
+    )
     return HandedKey(
         digest=digest.to_bytes(DIGEST_BYTES, "big"),
         fingerprint=entry.fingerprint,
         state=entry.state.name,
         age=now - entry.seen_at,
-        kept=kept,
+        stored_answer=stored_answer,
         code=entry.refusal.code.number if entry.refusal is not None else 0,
     )
 
@@ -180,6 +184,8 @@
         fingerprint=key.fingerprint,
         seen_at=now - key.age,
         call_id=NO_CALL,
-        kept=_answer_decoder.decode(key.kept) if key.kept is not None else None,
+        stored_answer=_answer_decoder.decode(key.stored_answer)
+        if key.stored_answer is not None
+        else None,
         refusal=refusal,
     )
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/peering.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/peering.py
@@ -256,7 +256,7 @@
 
     def _pass_on(self, pending: PendingCall, message: AnswerPart) -> None:
         if message.part == 0:
-            pending.passed_on = True
+            pending.relay_started = True
             pending.reply.begin(_read_start(message))
             return
         if message.body:
