--- a/features/steps/front_steps.py
+++ b/features/steps/front_steps.py
@@ -8,7 +8,7 @@
 
 from dotterelgate_core import codes, messages
 from dotterelgate_core.codes import Refusal
-from dotterelgate_core.control_messages import Probe, ProbeAnswered
+from dotterelgate_core.control_messages import Probe, ProbeEnded
 from dotterelgate_core.loads import LoadReport
 from dotterelgate_core.store_reading import (
     RegistryReadEnded,
@@ -279,7 +279,7 @@
             if isinstance(order, Probe):
                 counts[order.server.name] += 1
                 front.tell(
-                    ProbeAnswered(
+                    ProbeEnded(
                         now=front.now,
                         wall=front.now,
                         service="s",
--- a/features/subjects/measuring.py
+++ b/features/subjects/measuring.py
@@ -8,7 +8,7 @@
 from dotterelgate_bench.clock import FakeClock
 from dotterelgate_bench.model import ModelDaemon, ModelLog, Network
 from dotterelgate_core.configuration import BackendServer, Configuration, Route, Service
-from dotterelgate_core.control_messages import Probe, ProbeAnswered
+from dotterelgate_core.control_messages import Probe, ProbeEnded
 from subjects.schedules import LeasesWithoutHolder
 
 SERVERS = 6
@@ -97,7 +97,7 @@
                 self._clock.schedule(order.cost, answer)
 
         def answer():
-            message = ProbeAnswered(
+            message = ProbeEnded(
                 now=self._clock.now,
                 wall=daemon.wall(),
                 service="s",
--- a/features/subjects/noisy.py
+++ b/features/subjects/noisy.py
@@ -5,7 +5,7 @@
 import random
 from dataclasses import dataclass, field
 
-from dotterelgate_core.control_messages import ProbeAnswered
+from dotterelgate_core.control_messages import ProbeEnded
 from dotterelgate_core.loads import LoadReport
 
 NOISE_SECONDS = 0.15
@@ -57,9 +57,9 @@
                 self.start(following, now, work=self.works[following])
         return ended
 
-    def answer_probe(self, now: float) -> ProbeAnswered:
+    def answer_probe(self, now: float) -> ProbeEnded:
         """Answer a probe."""
-        return ProbeAnswered(
+        return ProbeEnded(
             now=now,
             wall=now,
             service="s",
@@ -67,7 +67,7 @@
             answered=True,
             draining=False,
             load=self.report(),
-            said_name=self.name,
+            reported_name=self.name,
         )
 
     def report(self) -> LoadReport:
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/model.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/model.py
@@ -15,8 +15,8 @@
     ControlTicked,
     GrantRead,
     LogRead,
+    LogReadStarted,
     PublicationRead,
-    ReadingBegan,
 )
 from dotterelgate_core.engine import make_request_pipeline
 from dotterelgate_core.keys import KeyTable
@@ -306,7 +306,7 @@
     def _read_log(self) -> None:
         oldest = self.log.oldest
         if self._read_to is None or oldest > self._read_to:
-            self.run_control(ReadingBegan(now=self.clock.now, start=oldest))
+            self.run_control(LogReadStarted(now=self.clock.now, start=oldest))
             self._read_to = oldest
         for offset in range(self._read_to, len(self.log.records)):
             for claim, read_to, seen_oldest in self.log.records[offset]:
--- a/packages/dotterelgate-core/src/dotterelgate_core/control.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/control.py
@@ -8,14 +8,14 @@
     AppendClaims,
     AppendConfirmation,
     ConfigurationChanged,
-    ConfigurationHeard,
+    ConfigurationReceived,
     ConfirmationRead,
     ControlTicked,
     GrantRead,
-    LeavingHeard,
+    LeavingReceived,
     LogRead,
+    LogReadStarted,
     PublicationRead,
-    ReadingBegan,
     VmsRead,
 )
 from dotterelgate_core.handovers import make_handover_filter
@@ -44,7 +44,7 @@
     """Make the pipeline of everything that is not about one call.
 
     It writes ``AppendClaims``, ``AppendConfirmation``, ``SendOffer``, ``SendKeys``,
-    ``Probe``, ``LeavingSeen``, ``ConfigurationChanged``, ``SlotFreed`` and ``Decision``.
+    ``Probe``, ``AnnounceLeaving``, ``ConfigurationChanged``, ``SlotFreed`` and ``Decision``.
 
     :param resources: names of all leased resources
     """
@@ -65,7 +65,7 @@
     state: DaemonState, position: LogPosition, resources: list[str]
 ) -> Filter:
     def follow(message: Message) -> Iterable[Message]:
-        if isinstance(message, ReadingBegan):
+        if isinstance(message, LogReadStarted):
             state.leases.begin(resources=resources, start=message.start, now=message.now)
             state.configuration.chain.begin(start=message.start)
             position.read_to = None
@@ -92,7 +92,7 @@
                 position.confirmed_offset = message.link.offset
                 position.confirmed_at = message.now
             return _announce(state, message.now, "a confirmation", changed=changed)
-        if isinstance(message, ConfigurationHeard):
+        if isinstance(message, ConfigurationReceived):
             changed = state.configuration.take_from_peer(message.configuration)
             return _announce(state, message.now, message.peer, changed=changed)
         return (message,)
@@ -135,7 +135,7 @@
 
 def _make_leaving_filter(state: DaemonState) -> Filter:
     def leave(message: Message) -> Iterable[Message]:
-        if not isinstance(message, LeavingHeard):
+        if not isinstance(message, LeavingReceived):
             return (message,)
         server = state.servers.states.get(message.server)
         if server is None:
--- a/packages/dotterelgate-core/src/dotterelgate_core/control_messages.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/control_messages.py
@@ -12,22 +12,22 @@
     from dotterelgate_core.loads import LoadReport
 
 __all__ = [
+    "AnnounceLeaving",
     "AppendClaims",
     "AppendConfirmation",
     "ConfigurationChanged",
-    "ConfigurationHeard",
+    "ConfigurationReceived",
     "ConfirmationRead",
     "ControlTicked",
     "GrantRead",
-    "KeysTaken",
-    "LeavingHeard",
-    "LeavingSeen",
+    "KeysReceived",
+    "LeavingReceived",
     "LogRead",
-    "OfferTaken",
+    "LogReadStarted",
+    "OfferAccepted",
     "Probe",
-    "ProbeAnswered",
+    "ProbeEnded",
     "PublicationRead",
-    "ReadingBegan",
     "SendKeys",
     "SendOffer",
     "Vm",
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class ReadingBegan:
+class LogReadStarted:
     """Reading the log begins, or begins again after records were lost."""
 
     now: float
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class ConfigurationHeard:
+class ConfigurationReceived:
     """A peer has this configuration in force."""
 
     now: float
@@ -86,7 +86,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class LeavingHeard:
+class LeavingReceived:
     """A daemon says whether a backend server is leaving.
 
     :param wall: wall-clock second at which that daemon saw it
@@ -100,7 +100,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class LeavingSeen:
+class AnnounceLeaving:
     """Order to tell all daemons whether a backend server is leaving.
 
     :param wall: wall-clock second at which it was seen
@@ -130,7 +130,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class ProbeAnswered:
+class ProbeEnded:
     """A probe ended.
 
     :param wall: wall-clock second at which it was sent
@@ -138,7 +138,7 @@
     :param draining: whether it said that it is leaving
     :param healthy: whether it said that it is well
     :param load: its load in full, if it said so
-    :param said_name: name that it gave itself, if it did
+    :param reported_name: name that it gave itself, if it did
     """
 
     now: float
@@ -149,7 +149,7 @@
     draining: bool
     healthy: bool = True
     load: LoadReport | None = None
-    said_name: str | None = None
+    reported_name: str | None = None
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -221,7 +221,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class OfferTaken:
+class OfferAccepted:
     """A daemon counts its lease of an offered range from before now.
 
     :param incarnation: which run of that daemon takes it
@@ -242,7 +242,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class KeysTaken:
+class KeysReceived:
     """The new holder has a range's keys."""
 
     resource: str
--- a/packages/dotterelgate-core/src/dotterelgate_core/handovers.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/handovers.py
@@ -15,8 +15,8 @@
 from dotterelgate_core.control_messages import (
     AppendClaims,
     ControlTicked,
-    KeysTaken,
-    OfferTaken,
+    KeysReceived,
+    OfferAccepted,
     SendKeys,
     SendOffer,
 )
@@ -83,9 +83,9 @@
     state.handovers = table
 
     def hand_over(message: Message) -> Iterable[Message]:
-        if isinstance(message, OfferTaken):
+        if isinstance(message, OfferAccepted):
             return _grant(state, position, table, message)
-        if isinstance(message, KeysTaken):
+        if isinstance(message, KeysReceived):
             _end_outgoing(table, message)
             return ()
         if not isinstance(message, ControlTicked) or position.read_to is None:
@@ -134,7 +134,7 @@
 
 
 def _grant(
-    state: DaemonState, position: LogPosition, table: HandoverTable, taken: OfferTaken
+    state: DaemonState, position: LogPosition, table: HandoverTable, taken: OfferAccepted
 ) -> list[Message]:
     offer = table.offers.get(taken.resource)
     lease = state.leases.leases.get(taken.resource)
@@ -179,7 +179,7 @@
     return all(entry.state is not KeyState.RUNNING for entry in key_range.entries.values())
 
 
-def _end_outgoing(table: HandoverTable, taken: KeysTaken) -> None:
+def _end_outgoing(table: HandoverTable, taken: KeysReceived) -> None:
     outgoing = table.outgoing.get(taken.resource)
     if outgoing is not None and outgoing.transfer == taken.transfer:
         del table.outgoing[taken.resource]
--- a/packages/dotterelgate-core/src/dotterelgate_core/observing.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/observing.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from dotterelgate_core.control_messages import LeavingSeen
+from dotterelgate_core.control_messages import AnnounceLeaving
 from dotterelgate_core.learning import learn_from_answer
 from dotterelgate_core.messages import Decision, DispatchFailed, ServerAnswered, SlotFreed
 
@@ -51,7 +51,7 @@
     freed = SlotFreed(now=message.now, service=call_state.routed.service.name)
     if server is None or not message.report.draining or server.is_leaving_itself:
         return [message, freed]
-    seen = LeavingSeen(server=message.server, is_leaving=True, wall=message.wall)
+    seen = AnnounceLeaving(server=message.server, is_leaving=True, wall=message.wall)
     server.note_sign(is_leaving=True, wall=message.wall)
     sentence = f"{message.server} leaves, says its answer; no new work for it"
     decision = Decision(part="settling", sentence=sentence, target=message.server)
--- a/packages/dotterelgate-core/src/dotterelgate_core/probing.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/probing.py
@@ -15,10 +15,10 @@
 import xxhash
 
 from dotterelgate_core.control_messages import (
+    AnnounceLeaving,
     ControlTicked,
-    LeavingSeen,
     Probe,
-    ProbeAnswered,
+    ProbeEnded,
 )
 from dotterelgate_core.messages import Decision, SlotFreed
 
@@ -72,7 +72,7 @@
     measured: dict[str, MeasuringState] = {}
 
     def probe(message: Message) -> Iterable[Message]:
-        if isinstance(message, ProbeAnswered):
+        if isinstance(message, ProbeEnded):
             return _learn(state, message)
         if not isinstance(message, ControlTicked):
             return (message,)
@@ -136,7 +136,7 @@
     return since >= IDLE_SECONDS and now - server.used_at >= IDLE_SECONDS
 
 
-def _learn(state: DaemonState, message: ProbeAnswered) -> list[Message]:
+def _learn(state: DaemonState, message: ProbeEnded) -> list[Message]:
     server = state.servers.states.get(message.server)
     if server is None:
         return []
@@ -148,7 +148,9 @@
         server.paused_until = 0.0
     orders: list[Message] = []
     if message.draining != server.is_leaving_itself:
-        seen = LeavingSeen(server=message.server, is_leaving=message.draining, wall=message.wall)
+        seen = AnnounceLeaving(
+            server=message.server, is_leaving=message.draining, wall=message.wall
+        )
         word = "leaves" if message.draining else "works again"
         sentence = f"{message.server} {word}, says its answer to a probe"
         decision = Decision(part="probing", sentence=sentence, target=message.server)
--- a/packages/dotterelgate-core/src/dotterelgate_core/sampling.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/sampling.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from dotterelgate_core.control_messages import ControlTicked, Probe, ProbeAnswered
+from dotterelgate_core.control_messages import ControlTicked, Probe, ProbeEnded
 from dotterelgate_core.owners import is_granted, list_owners
 from dotterelgate_core.peers import rank_by_rendezvous
 from dotterelgate_core.sharing import free_slots, select_alive
@@ -54,7 +54,7 @@
     """Make the filter from ticks to probes, and from their answers to reports."""
 
     def sample(message: Message) -> Iterable[Message]:
-        if isinstance(message, ProbeAnswered):
+        if isinstance(message, ProbeEnded):
             return _learn(state, sampling, message)
         if isinstance(message, ControlTicked):
             return [*_order_probes(state, sampling, message), message]
@@ -144,14 +144,14 @@
     return SAMPLE_SECONDS if now - routed_at < DEMAND_SECONDS else IDLE_SECONDS
 
 
-def _learn(state: DaemonState, sampling: SamplingState, answered: ProbeAnswered) -> list[Message]:
+def _learn(state: DaemonState, sampling: SamplingState, answered: ProbeEnded) -> list[Message]:
     name = answered.server
     sampling.pending.discard(name)
     server = state.servers.states.get(name)
     if server is None:
         return []
     state.servers.sampled.add(name)
-    known = answered.said_name is None or answered.said_name == name
+    known = answered.reported_name is None or answered.reported_name == name
     if not answered.answered or not known:
         sampling.silent.add(name)
         server.view.note_outcome(failed=True, now=answered.now)
--- a/packages/dotterelgate-core/src/dotterelgate_core/store_control.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/store_control.py
@@ -47,7 +47,7 @@
     It reads ``ConfigurationStored``, ``RegistrationRead``, ``RegistryListed``,
     ``RegistryReadEnded``, ``RegistryReadFailed``, ``ConfigurationReadEnded``,
     ``ConfigurationReadFailed``, ``NewsHeard``, ``LoadHeard``, ``HeartbeatHeard``,
-    ``ProbeAnswered`` and ``ControlTicked``. It writes ``ReadRegistry``,
+    ``ProbeEnded`` and ``ControlTicked``. It writes ``ReadRegistry``,
     ``ReadConfiguration``, ``Probe``, ``ConfigurationChanged``, ``SlotFreed`` and ``Decision``.
     """
     return connect(
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/following.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/following.py
@@ -83,7 +83,7 @@
             control.AppendClaims: self._append_claims,
             control.AppendConfirmation: self._append_confirmation,
             control.SendOffer: lambda order: self.send_offer(order),
-            control.LeavingSeen: self.tell_leaving,
+            control.AnnounceLeaving: self.tell_leaving,
             control.Probe: lambda order: self.probe(order),
             control.SendKeys: lambda order: self.send_keys(order),
             control.ConfigurationChanged: self._change_configuration,
@@ -100,7 +100,7 @@
 
     def begin(self, start: int) -> None:
         """Note that reading the log begins at an offset."""
-        self.run(control.ReadingBegan(now=time.monotonic(), start=start))
+        self.run(control.LogReadStarted(now=time.monotonic(), start=start))
         self.ask_peers()
 
     def take_record(self, offset: int, document: dict) -> None:
@@ -176,9 +176,9 @@
         wall = time.time()
         self.run(control.ControlTicked(now=time.monotonic(), wall=wall))
 
-    def tell_leaving(self, seen: control.LeavingSeen) -> None:
+    def tell_leaving(self, seen: control.AnnounceLeaving) -> None:
         """Share a sign that a backend server is leaving, by peers and by the log."""
-        heard = control.LeavingHeard(
+        heard = control.LeavingReceived(
             now=time.monotonic(),
             server=seen.server,
             source=self._state.name,
@@ -218,7 +218,7 @@
                 control.GrantRead(now=now, link=_link_grant(offset, record, grant))
                 for grant in record.grants
             ]
-        heard = control.LeavingHeard(
+        heard = control.LeavingReceived(
             now=now,
             server=record.server,
             source=record.writer,
@@ -249,7 +249,7 @@
             model = ConfigurationModel.model_validate_json(message.document)
             self.documents[message.id] = model
             configuration = build_configuration(model, id=message.id, revision=message.revision)
-            heard = control.ConfigurationHeard(
+            heard = control.ConfigurationReceived(
                 now=time.monotonic(), peer=message.sender, configuration=configuration
             )
             self.run(heard)
@@ -267,7 +267,7 @@
 
     def _hear_leaving(self, message: LeavingNotice) -> None:
         if message.server:
-            heard = control.LeavingHeard(
+            heard = control.LeavingReceived(
                 now=time.monotonic(),
                 server=message.server,
                 source=message.sender,
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/gateway.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/gateway.py
@@ -10,7 +10,7 @@
 
 from dotterelgate_core import codes, messages
 from dotterelgate_core.codes import Refusal
-from dotterelgate_core.control_messages import LeavingSeen
+from dotterelgate_core.control_messages import AnnounceLeaving
 from dotterelgate_daemon.codec import (
     encode_request_head,
     select_end_to_end,
@@ -100,7 +100,7 @@
             None
         )
         self.withdraw: Callable[[int, str], None] = lambda call_id, peer: None
-        self.tell_leaving: Callable[[LeavingSeen], None] = lambda order: None
+        self.tell_leaving: Callable[[AnnounceLeaving], None] = lambda order: None
         self.dialect = dialect
         self.ran: Callable[[], None] = lambda: None
         self._decide = decide
@@ -121,7 +121,7 @@
             messages.RefuseCall: self._refuse,
             messages.ReleaseCall: self._forget,
             messages.Decision: self._write_decision,
-            LeavingSeen: lambda order: self.tell_leaving(order),
+            AnnounceLeaving: lambda order: self.tell_leaving(order),
         }
 
     def add_sinks(self, sinks: dict[type, Callable[[Message], None]]) -> None:
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/key_transfer.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/key_transfer.py
@@ -95,11 +95,11 @@
         if isinstance(message, HandedKeys):
             self._take_keys(message)
         elif isinstance(message, KeysTaken):
-            self._tell(control.KeysTaken(resource=message.resource, transfer=message.transfer))
+            self._tell(control.KeysReceived(resource=message.resource, transfer=message.transfer))
         elif isinstance(message, RangeOffer):
             self._take_offer(message)
         elif isinstance(message, RangeTaken):
-            taken = control.OfferTaken(
+            taken = control.OfferAccepted(
                 resource=message.resource,
                 transfer=message.transfer,
                 incarnation=message.incarnation,
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/prober.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/prober.py
@@ -7,7 +7,7 @@
 
 from dotterelgate_core import codes
 from dotterelgate_core.codes import Refusal
-from dotterelgate_core.control_messages import ProbeAnswered
+from dotterelgate_core.control_messages import ProbeEnded
 from dotterelgate_daemon.codec import encode_request_head
 from dotterelgate_daemon.exchanges import Exchange
 
@@ -60,7 +60,7 @@
         statuses: list[int] = []
 
         def tell(*, answered: bool) -> None:
-            message = ProbeAnswered(
+            message = ProbeEnded(
                 now=time.monotonic(),
                 wall=sent_wall,
                 service=order.service,
@@ -69,7 +69,7 @@
                 draining=any(each.report.draining for each in answers),
                 healthy=statuses == [200],
                 load=answers[0].report.load if answers else None,
-                said_name=answers[0].server if answers else None,
+                reported_name=answers[0].server if answers else None,
             )
             self._tell(message)
 
