--- a/features/steps/slot_steps.py
+++ b/features/steps/slot_steps.py
@@ -14,12 +14,12 @@
 from dotterelgate_core.codes import Refusal
 from dotterelgate_core.owners import find_owner
 from dotterelgate_core.slots import (
-    AskSlot,
     GrantSlot,
-    SlotAsked,
+    RequestSlot,
     SlotDenied,
     SlotGrant,
     SlotGranted,
+    SlotRequested,
     WithdrawSlot,
 )
 from dotterelgate_daemon.explanation import explain_route
@@ -107,7 +107,7 @@
 def ask_silent(context):
     context.began = context.front.now
     context.call_id, orders = context.front.arrive()
-    assert find(orders, AskSlot) is not None
+    assert find(orders, RequestSlot) is not None
     pass_time(context)
 
 
@@ -129,7 +129,7 @@
 @then("the next read is not asked of that owner")
 def check_next(context):
     _, orders = context.front.arrive()
-    assert find(orders, AskSlot) is None
+    assert find(orders, RequestSlot) is None
     assert find(orders, messages.Dispatch) is not None
 
 
@@ -137,7 +137,7 @@
 def leave_before_grant(context):
     front = context.front
     call_id, orders = front.arrive("/write/x")
-    assert find(orders, AskSlot) is not None
+    assert find(orders, RequestSlot) is not None
     front.run(messages.CallerDisconnected(now=front.now, call_id=call_id))
     front.now += TICK_SECONDS
     context.after = list(front.tick())
@@ -168,16 +168,16 @@
 @then("the owner is asked for another one")
 def check_asked_again(context):
     assert find(context.after, messages.Dispatch) is None
-    assert "i-1" in find(context.after, AskSlot).request.avoided
+    assert "i-1" in find(context.after, RequestSlot).request.avoided
 
 
 @when("the owner hears the same question three times")
 def ask_three_times(context):
     _, orders = context.front.arrive()
-    request = find(orders, AskSlot).request
+    request = find(orders, RequestSlot).request
     owner = context.owner
-    asked = SlotAsked(
-        now=owner.now, wall=owner.now, asker=context.front.state.name, request=request
+    asked = SlotRequested(
+        now=owner.now, wall=owner.now, requester=context.front.state.name, request=request
     )
     context.grants = [find(owner.run(asked), GrantSlot) for _ in range(3)]
 
@@ -224,7 +224,7 @@
 @then("the next read is dispatched without a question")
 def check_no_question(context):
     _, orders = context.front.arrive()
-    assert find(orders, AskSlot) is None
+    assert find(orders, RequestSlot) is None
     assert find(orders, messages.Dispatch) is not None
 
 
--- a/features/subjects/zone.py
+++ b/features/subjects/zone.py
@@ -12,14 +12,14 @@
 from dotterelgate_core.control_messages import Probe
 from dotterelgate_core.owners import select_listeners
 from dotterelgate_core.slots import (
-    AskSlot,
     DenySlot,
     GrantSlot,
     QueueSlot,
-    SlotAsked,
+    RequestSlot,
     SlotDenied,
     SlotGranted,
     SlotQueued,
+    SlotRequested,
     SlotWithdrawn,
     WithdrawSlot,
 )
@@ -219,7 +219,7 @@
                 self._count_refusal((id(front), order.call_id), order)
             elif isinstance(order, messages.Cancel):
                 self._cancel((id(front), order.call_id))
-            elif isinstance(order, (AskSlot, WithdrawSlot, GrantSlot, QueueSlot, DenySlot)):
+            elif isinstance(order, (RequestSlot, WithdrawSlot, GrantSlot, QueueSlot, DenySlot)):
                 self._send(front, order)
             elif isinstance(order, Probe):
                 self._call_later(
@@ -277,15 +277,15 @@
 
     :returns: name of the receiver, and the message
     """
-    if isinstance(order, AskSlot):
-        asked = SlotAsked(now=now, wall=now, asker=sender, request=order.request)
+    if isinstance(order, RequestSlot):
+        asked = SlotRequested(now=now, wall=now, requester=sender, request=order.request)
         return order.owner, asked
     if isinstance(order, WithdrawSlot):
         return order.owner, SlotWithdrawn(now=now, call_id=order.call_id)
     if isinstance(order, GrantSlot):
         granted = SlotGranted(now=now, owner=sender, call_id=order.call_id, grant=order.grant)
-        return order.asker, granted
+        return order.requester, granted
     if isinstance(order, QueueSlot):
-        return order.asker, SlotQueued(now=now, call_id=order.call_id)
+        return order.requester, SlotQueued(now=now, call_id=order.call_id)
     assert isinstance(order, DenySlot)
-    return order.asker, SlotDenied(now=now, call_id=order.call_id, refusal=order.refusal)
+    return order.requester, SlotDenied(now=now, call_id=order.call_id, refusal=order.refusal)
--- a/features/subjects/zone_schedules.py
+++ b/features/subjects/zone_schedules.py
@@ -11,7 +11,7 @@
 from dotterelgate_core.codes import Refusal
 from dotterelgate_core.loads import LoadReport
 from dotterelgate_core.owners import select_listeners
-from dotterelgate_core.slots import AskSlot, DenySlot, GrantSlot, QueueSlot, WithdrawSlot
+from dotterelgate_core.slots import DenySlot, GrantSlot, QueueSlot, RequestSlot, WithdrawSlot
 from dotterelgate_daemon.mesh import build_load_entry, read_load_news
 from subjects.front import RETRY_BURST, RETRY_SHARE, Front
 from subjects.zone import IDS_APART, address_order
@@ -26,7 +26,7 @@
 BEAT_SECONDS = 0.24
 LOST_SHARE = 0.1
 REPEATED_SHARE = 0.05
-SLOT_ORDERS = (AskSlot, DenySlot, GrantSlot, QueueSlot, WithdrawSlot)
+SLOT_ORDERS = (RequestSlot, DenySlot, GrantSlot, QueueSlot, WithdrawSlot)
 NOT_FULL = LoadReport(running=1, waiting=0, slots=3)
 
 
@@ -227,7 +227,7 @@
         if name is None:
             return
         front = self._fronts[name]
-        own = [each for each, call in front.state.calls.states.items() if call.asker is None]
+        own = [each for each, call in front.state.calls.states.items() if call.requester is None]
         if own:
             left = messages.CallerDisconnected(
                 now=self.now, call_id=self._random.choice(sorted(own))
--- a/packages/dotterelgate-core/src/dotterelgate_core/admission.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/admission.py
@@ -60,7 +60,7 @@
     What a call of another daemon earns and takes is that daemon's to say.
     """
     call_state.admitted = True
-    if call_state.asker is not None:
+    if call_state.requester is not None:
         return
     routed = call_state.routed
     state.retries.find(routed.service.name, routed.service.retry_share).earn()
--- a/packages/dotterelgate-core/src/dotterelgate_core/asking.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/asking.py
@@ -11,7 +11,7 @@
 from dotterelgate_core.messages import CallRouted, CallSettled, Decision, Ticked
 from dotterelgate_core.owners import find_owner
 from dotterelgate_core.slots import (
-    AskSlot,
+    RequestSlot,
     SlotDenied,
     SlotGranted,
     SlotQueued,
@@ -40,7 +40,7 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class Question:
+class PendingRequest:
     """One call that waits for an owner's answer.
 
     :param asked_at: monotonic second of the newest question
@@ -58,10 +58,10 @@
 class AskingState:
     """Calls that wait for an owner's answer.
 
-    :param questions: by call id
+    :param requests: by call id
     """
 
-    questions: dict[int, Question] = field(default_factory=dict)
+    requests: dict[int, PendingRequest] = field(default_factory=dict)
 
 
 def make_asking_filter(
@@ -82,9 +82,9 @@
         if isinstance(message, SlotGranted):
             return _take_grant(state, asking, message)
         if isinstance(message, SlotQueued):
-            question = asking.questions.get(message.call_id)
-            if question is not None:
-                question.unanswered = 0
+            pending = asking.requests.get(message.call_id)
+            if pending is not None:
+                pending.unanswered = 0
             return ()
         if isinstance(message, SlotDenied):
             return _take_denial(state, asking, message)
@@ -104,7 +104,7 @@
     call_state = state.calls.states[routed.call.id]
     service = routed.service
     owner = find_owner(state, service.name, routed.now)
-    is_local = call_state.asker is not None or owner == state.name
+    is_local = call_state.requester is not None or owner == state.name
     if is_local or not policies[service.policy].granted:
         return [routed]
     if call_state.lost_owners >= OWNERS_LIMIT:
@@ -115,11 +115,11 @@
     if not call_state.admitted:
         note_admitted(state, call_state)
     call_state.queued = True
-    asking.questions[routed.call.id] = Question(owner=owner, asked_at=routed.now)
-    return [_build_question(call_state, owner, routed.now)]
+    asking.requests[routed.call.id] = PendingRequest(owner=owner, asked_at=routed.now)
+    return [_build_request(call_state, owner, routed.now)]
 
 
-def _build_question(call_state: CallState, owner: str, now: float) -> AskSlot:
+def _build_request(call_state: CallState, owner: str, now: float) -> RequestSlot:
     routed = call_state.routed
     request = SlotRequest(
         call_id=routed.call.id,
@@ -128,26 +128,26 @@
         route=routed.route.name or routed.route.prefix,
         work=call_state.work,
         waited=now - call_state.arrived,
-        left=max(0.0, routed.deadline - now),
+        remaining=max(0.0, routed.deadline - now),
         attempt=call_state.attempts,
         avoided=tuple(sorted(call_state.avoided)),
     )
-    return AskSlot(owner=owner, request=request)
+    return RequestSlot(owner=owner, request=request)
 
 
 def _take_grant(state: DaemonState, asking: AskingState, granted: SlotGranted) -> list[Message]:
-    question = asking.questions.get(granted.call_id)
+    pending = asking.requests.get(granted.call_id)
     call_state = state.calls.states.get(granted.call_id)
     name = granted.grant.server
-    if question is None or call_state is None or call_state.server is not None:
+    if pending is None or call_state is None or call_state.server is not None:
         # The owner counts a request there that does not exist; the next news correct it.
         state.servers.changed.add(name)
         return []
     server = state.servers.states.get(name)
     if server is None or not server.is_eligible(granted.now):
         state.servers.changed.add(name)
-        return _ask_again(state, asking, question, call_state, name, granted.now)
-    del asking.questions[granted.call_id]
+        return _ask_again(state, asking, pending, call_state, name, granted.now)
+    del asking.requests[granted.call_id]
     facts = {
         "owner": granted.owner,
         "slowdown": granted.grant.slowdown,
@@ -160,35 +160,35 @@
 def _ask_again(
     state: DaemonState,
     asking: AskingState,
-    question: Question,
+    pending: PendingRequest,
     call_state: CallState,
     useless: str,
     now: float,
 ) -> list[Message]:
     call_state.avoided.add(useless)
-    question.useless += 1
-    if question.useless < USELESS_GRANTS_LIMIT:
-        question.asked_at = now
-        return [_build_question(call_state, question.owner, now)]
+    pending.useless += 1
+    if pending.useless < USELESS_GRANTS_LIMIT:
+        pending.asked_at = now
+        return [_build_request(call_state, pending.owner, now)]
     return _choose_here(asking, call_state, now, "its grants cannot be used")
 
 
 def _take_denial(state: DaemonState, asking: AskingState, denied: SlotDenied) -> list[Message]:
-    question = asking.questions.get(denied.call_id)
+    pending = asking.requests.get(denied.call_id)
     call_state = state.calls.states.get(denied.call_id)
-    if question is None or call_state is None or call_state.server is not None:
+    if pending is None or call_state is None or call_state.server is not None:
         return []
     if denied.refusal.code in (codes.NO_CONFIGURATION, codes.NO_SERVER):
         # This daemon knows of a route and of backend servers; the owner lags behind.
         return _choose_here(asking, call_state, denied.now, denied.refusal.reason)
-    del asking.questions[denied.call_id]
+    del asking.requests[denied.call_id]
     call_state.queued = False
     decision = Decision(
         part="asking",
-        sentence=f"{question.owner} refused: {denied.refusal.reason}",
+        sentence=f"{pending.owner} refused: {denied.refusal.reason}",
         call_id=denied.call_id,
         service=call_state.routed.service.name,
-        facts={"owner": question.owner, "attempts": call_state.attempts},
+        facts={"owner": pending.owner, "attempts": call_state.attempts},
     )
     settled = CallSettled(now=denied.now, call_id=denied.call_id, refusal=denied.refusal, ran=False)
     return [decision, settled]
@@ -196,29 +196,29 @@
 
 def _look_after(state: DaemonState, asking: AskingState, now: float) -> list[Message]:
     messages: list[Message] = []
-    for call_id, question in list(asking.questions.items()):
+    for call_id, pending in list(asking.requests.items()):
         call_state = state.calls.states.get(call_id)
         if call_state is None:
-            del asking.questions[call_id]
-            messages.append(WithdrawSlot(owner=question.owner, call_id=call_id))
-        elif now - question.asked_at >= REPEAT_SECONDS:
-            messages.extend(_repeat(state, asking, question, call_state, now))
+            del asking.requests[call_id]
+            messages.append(WithdrawSlot(owner=pending.owner, call_id=call_id))
+        elif now - pending.asked_at >= REPEAT_SECONDS:
+            messages.extend(_repeat(state, asking, pending, call_state, now))
     return messages
 
 
 def _repeat(
     state: DaemonState,
     asking: AskingState,
-    question: Question,
+    pending: PendingRequest,
     call_state: CallState,
     now: float,
 ) -> list[Message]:
-    if question.unanswered >= UNANSWERED_LIMIT:
-        state.owners.suspect(question.owner, now)
+    if pending.unanswered >= UNANSWERED_LIMIT:
+        state.owners.suspect(pending.owner, now)
         return _choose_here(asking, call_state, now, "it does not answer")
-    question.unanswered += 1
-    question.asked_at = now
-    return [_build_question(call_state, question.owner, now)]
+    pending.unanswered += 1
+    pending.asked_at = now
+    return [_build_request(call_state, pending.owner, now)]
 
 
 def _choose_here(
@@ -226,14 +226,14 @@
 ) -> list[Message]:
     """Try the next owner, or choose here once enough were tried."""
     call_id = call_state.call.id
-    question = asking.questions.pop(call_id)
+    pending = asking.requests.pop(call_id)
     call_state.lost_owners += 1
     decision = Decision(
         part="asking",
-        sentence=f"{question.owner} is passed over as owner: {reason}",
+        sentence=f"{pending.owner} is passed over as owner: {reason}",
         call_id=call_id,
         service=call_state.routed.service.name,
-        target=question.owner,
+        target=pending.owner,
     )
-    withdrawal = WithdrawSlot(owner=question.owner, call_id=call_id)
+    withdrawal = WithdrawSlot(owner=pending.owner, call_id=call_id)
     return [decision, withdrawal, replace(call_state.routed, now=now)]
--- a/packages/dotterelgate-core/src/dotterelgate_core/binding.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/binding.py
@@ -66,7 +66,7 @@
         return []
     line.remove(call_state.call.id)
     chosen.chosen_at = freed.now
-    if call_state.asker is not None:
+    if call_state.requester is not None:
         return _grant(call_state, chosen, freed.now)
     call_state.expected = chosen.view.estimate_slowdown(freed.now, 1.0)
     return dispatch_call(state, call_state, chosen, freed.now, _list_view(chosen, freed.now))
@@ -124,12 +124,12 @@
 
 def _grant(call_state: CallState, chosen: ServerState, now: float) -> list[Message]:
     """Give a slot to a call of another daemon, which dispatches it."""
-    assert call_state.asker is not None
+    assert call_state.requester is not None
     call_state.queued = False
     call_state.sent_at = now
     sentence = _explain(chosen)
     # The asker's next news say the same; until then the slot must not be given twice.
-    chosen.view.add_peer_request(call_state.asker, now)
+    chosen.view.add_peer_request(call_state.requester, now)
     report = chosen.view.report
     grant = SlotGrant(
         server=chosen.server.name,
@@ -137,16 +137,16 @@
         report_age=now - chosen.view.reported_at if report is not None else 0.0,
     )
     facts = {
-        "asker": call_state.asker,
+        "asker": call_state.requester,
         "asked_request": call_state.call.request_id,
         **_list_times(call_state, now),
         **_list_view(chosen, now),
     }
     return [
-        GrantSlot(asker=call_state.asker, call_id=call_state.call.id, grant=grant),
+        GrantSlot(requester=call_state.requester, call_id=call_state.call.id, grant=grant),
         Decision(
             part="granting",
-            sentence=f"{sentence}, for {call_state.asker}",
+            sentence=f"{sentence}, for {call_state.requester}",
             call_id=call_state.call.id,
             service=call_state.routed.service.name,
             target=chosen.server.name,
--- a/packages/dotterelgate-core/src/dotterelgate_core/calls.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/calls.py
@@ -40,7 +40,7 @@
     :param work: seconds that it is expected to take on a calm backend server
     :param may_have_run: whether an attempt ran, or may have
     :param lost_owners: owners that were asked for a slot and passed over
-    :param asker: daemon of the zone that has the call and asks for a slot
+    :param requester: daemon of the zone that has the call and asks for a slot
     """
 
     routed: CallRouted
@@ -61,7 +61,7 @@
     admitted: bool = False
     work: float = 0.0
     may_have_run: bool = False
-    asker: str | None = None
+    requester: str | None = None
     lost_owners: int = 0
 
     def patient_until(self, share: float) -> float:
--- a/packages/dotterelgate-core/src/dotterelgate_core/engine.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/engine.py
@@ -41,9 +41,9 @@
     """Make the pipeline from what happens to a call to the orders for it.
 
     It reads ``CallArrived``, ``CallerDisconnected``, ``ServerAnswered``, ``DispatchFailed``,
-    ``PeerAnswered``, ``PeerFailed``, ``SlotFreed``, ``SlotAsked``, ``SlotGranted``,
+    ``PeerAnswered``, ``PeerFailed``, ``SlotFreed``, ``SlotRequested``, ``SlotGranted``,
     ``SlotQueued``, ``SlotDenied``, ``SlotWithdrawn`` and ``Ticked``. It writes
-    ``Dispatch``, ``Forward``, ``Cancel``, ``Relay``, ``Replay``, ``AskSlot``,
+    ``Dispatch``, ``Forward``, ``Cancel``, ``Relay``, ``Replay``, ``RequestSlot``,
     ``GrantSlot``, ``QueueSlot``, ``DenySlot``, ``WithdrawSlot``, ``RefuseCall`` and
     ``Decision``.
 
--- a/packages/dotterelgate-core/src/dotterelgate_core/expected_time.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/expected_time.py
@@ -74,8 +74,8 @@
 
 def _is_connected(state: ServerState, call: CallState, now: float) -> bool:
     """Tell whether the daemon that has the call likely has an idle connection there."""
-    if call.asker is not None:
-        return state.view.is_connected(call.asker, now)
+    if call.requester is not None:
+        return state.view.is_connected(call.requester, now)
     return not state.in_flight and now - state.used_at < CONNECTED_SECONDS
 
 
--- a/packages/dotterelgate-core/src/dotterelgate_core/granting.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/granting.py
@@ -12,7 +12,7 @@
     DenySlot,
     GrantSlot,
     QueueSlot,
-    SlotAsked,
+    SlotRequested,
     SlotWithdrawn,
 )
 
@@ -44,7 +44,7 @@
     """Make the filter from other daemons' questions to routed calls."""
 
     def grant(message: Message) -> Iterable[Message]:
-        if isinstance(message, SlotAsked):
+        if isinstance(message, SlotRequested):
             return _take_question(state, granting, message)
         if isinstance(message, SlotWithdrawn):
             _withdraw(state, granting, message.call_id)
@@ -74,25 +74,29 @@
 
 def _reply_settled(state: DaemonState, settled: CallSettled) -> list[Message]:
     call_state = state.calls.states.get(settled.call_id)
-    if call_state is None or call_state.asker is None or settled.refusal is None:
+    if call_state is None or call_state.requester is None or settled.refusal is None:
         return [settled]
     del state.calls.states[settled.call_id]
-    return [DenySlot(asker=call_state.asker, call_id=settled.call_id, refusal=settled.refusal)]
+    return [
+        DenySlot(requester=call_state.requester, call_id=settled.call_id, refusal=settled.refusal)
+    ]
 
 
-def _take_question(state: DaemonState, granting: GrantingState, asked: SlotAsked) -> list[Message]:
+def _take_question(
+    state: DaemonState, granting: GrantingState, asked: SlotRequested
+) -> list[Message]:
     request = asked.request
     known = granting.granted.get(request.call_id)
     if known is not None and known[1].grant.server not in request.avoided:
         return [known[1]]
     granting.granted.pop(request.call_id, None)
     if request.call_id in state.calls.states:
-        return [QueueSlot(asker=asked.asker, call_id=request.call_id)]
+        return [QueueSlot(requester=asked.requester, call_id=request.call_id)]
     found = _find_route(state, request)
     if found is None:
         reason = f"the owner knows no route {request.route} of {request.service}"
         refusal = Refusal(codes.NO_CONFIGURATION, reason)
-        return [DenySlot(asker=asked.asker, call_id=request.call_id, refusal=refusal)]
+        return [DenySlot(requester=asked.requester, call_id=request.call_id, refusal=refusal)]
     service, route = found
     routed = CallRouted(
         now=asked.now,
@@ -100,16 +104,16 @@
         call=Call(id=request.call_id, method="", host="", path="", request_id=request.request_id),
         service=service,
         route=route,
-        deadline=asked.now + request.left,
+        deadline=asked.now + request.remaining,
     )
     _add_call(state, asked, routed)
     return [routed]
 
 
-def _add_call(state: DaemonState, asked: SlotAsked, routed: CallRouted) -> None:
+def _add_call(state: DaemonState, asked: SlotRequested, routed: CallRouted) -> None:
     request = asked.request
     call_state = state.calls.add(routed)
-    call_state.asker = asked.asker
+    call_state.requester = asked.requester
     call_state.arrived = asked.now - request.waited
     call_state.work = request.work
     call_state.attempts = request.attempt
@@ -132,7 +136,7 @@
 def _withdraw(state: DaemonState, granting: GrantingState, call_id: int) -> None:
     granting.granted.pop(call_id, None)
     call_state = state.calls.states.get(call_id)
-    if call_state is not None and call_state.asker is not None:
+    if call_state is not None and call_state.requester is not None:
         call_state.queued = False
         del state.calls.states[call_id]
 
--- a/packages/dotterelgate-core/src/dotterelgate_core/slots.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/slots.py
@@ -9,16 +9,16 @@
     from dotterelgate_core.codes import Refusal
 
 __all__ = [
-    "AskSlot",
     "DenySlot",
     "GrantSlot",
     "QueueSlot",
-    "SlotAsked",
+    "RequestSlot",
     "SlotDenied",
     "SlotGrant",
     "SlotGranted",
     "SlotQueued",
     "SlotRequest",
+    "SlotRequested",
     "SlotWithdrawn",
     "WithdrawSlot",
 ]
@@ -33,7 +33,7 @@
     :param route: name or prefix of the route
     :param work: seconds that the call takes on a calm backend server
     :param waited: seconds since the call was routed first
-    :param left: seconds until its time limit
+    :param remaining: seconds until its time limit
     :param attempt: dispatches so far
     :param avoided: backend servers that failed it
     """
@@ -44,7 +44,7 @@
     route: str
     work: float
     waited: float
-    left: float
+    remaining: float
     attempt: int = 0
     avoided: tuple[str, ...] = ()
 
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class AskSlot:
+class RequestSlot:
     """Order to ask the owner for a slot."""
 
     owner: str
@@ -82,7 +82,7 @@
 class GrantSlot:
     """Order to tell a daemon which backend server its call may go to."""
 
-    asker: str
+    requester: str
     call_id: int
     grant: SlotGrant
 
@@ -91,7 +91,7 @@
 class QueueSlot:
     """Order to tell a daemon that its call waits here."""
 
-    asker: str
+    requester: str
     call_id: int
 
 
@@ -99,18 +99,18 @@
 class DenySlot:
     """Order to tell a daemon that its call gets no slot."""
 
-    asker: str
+    requester: str
     call_id: int
     refusal: Refusal
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class SlotAsked:
+class SlotRequested:
     """A daemon of the zone asks for a slot."""
 
     now: float
     wall: float
-    asker: str
+    requester: str
     request: SlotRequest
 
 
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/slot_exchange.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/slot_exchange.py
@@ -41,7 +41,7 @@
         self._mesh = mesh
         self._tell = tell
         self.sinks: dict[type, Callable[[Message], None]] = {
-            slots.AskSlot: self._ask,
+            slots.RequestSlot: self._ask,
             slots.GrantSlot: self._grant,
             slots.QueueSlot: self._queue,
             slots.DenySlot: self._deny,
@@ -68,7 +68,7 @@
         if peer is not None:
             self._mesh.send_message(peer.address, message)
 
-    def _ask(self, order: slots.AskSlot) -> None:
+    def _ask(self, order: slots.RequestSlot) -> None:
         request = order.request
         question = SlotQuestion(
             sender=self._state.name,
@@ -78,7 +78,7 @@
             route=request.route,
             work=request.work,
             waited=request.waited,
-            left=request.left,
+            left=request.remaining,
             attempt=request.attempt,
             avoided=list(request.avoided),
         )
@@ -92,10 +92,10 @@
             slowdown=order.grant.slowdown,
             report_age=order.grant.report_age,
         )
-        self._send(order.asker, answer)
+        self._send(order.requester, answer)
 
     def _queue(self, order: slots.QueueSlot) -> None:
-        self._send(order.asker, SlotWait(sender=self._state.name, call_id=order.call_id))
+        self._send(order.requester, SlotWait(sender=self._state.name, call_id=order.call_id))
 
     def _deny(self, order: slots.DenySlot) -> None:
         refusal = SlotRefusal(
@@ -105,7 +105,7 @@
             reason=order.refusal.reason,
             retry_after=order.refusal.retry_after,
         )
-        self._send(order.asker, refusal)
+        self._send(order.requester, refusal)
 
     def _withdraw(self, order: slots.WithdrawSlot) -> None:
         self._send(order.owner, SlotReturn(sender=self._state.name, call_id=order.call_id))
@@ -123,7 +123,7 @@
         self._tell(slots.SlotDenied(now=now, call_id=message.call_id, refusal=refusal))
 
 
-def _read_question(message: SlotQuestion, now: float) -> slots.SlotAsked:
+def _read_question(message: SlotQuestion, now: float) -> slots.SlotRequested:
     request = slots.SlotRequest(
         call_id=message.call_id,
         request_id=message.request_id,
@@ -131,11 +131,11 @@
         route=message.route,
         work=message.work,
         waited=message.waited,
-        left=message.left,
+        remaining=message.left,
         attempt=message.attempt,
         avoided=tuple(message.avoided),
     )
-    return slots.SlotAsked(now=now, wall=time.time(), asker=message.sender, request=request)
+    return slots.SlotRequested(now=now, wall=time.time(), requester=message.sender, request=request)
 
 
 def _read_answer(message: SlotAnswer, now: float) -> slots.SlotGranted:
