--- a/features/steps/reading_steps.py
+++ b/features/steps/reading_steps.py
@@ -9,11 +9,11 @@
 from dotterelgate_core.store_reading import (
     ConfigurationReadEnded,
     ConfigurationReadFailed,
-    NewsHeard,
     ReadConfiguration,
     ReadRegistry,
     RegistryReadEnded,
     RegistryReadFailed,
+    RegistryUpdateReceived,
 )
 
 TICK_SECONDS = 0.02
@@ -46,7 +46,7 @@
             elif answer_reads(front, orders):
                 reads[name] += 1
                 for other in others:
-                    news = NewsHeard(now=fronts[other].now, returned_at=float("-inf"))
+                    news = RegistryUpdateReceived(now=fronts[other].now, returned_at=float("-inf"))
                     fronts[other].tell(news)
 
 
--- a/features/subjects/front.py
+++ b/features/subjects/front.py
@@ -13,7 +13,7 @@
 from dotterelgate_core.peers import PeerTable
 from dotterelgate_core.registry import Registration, RegistrationRead, RegistryState
 from dotterelgate_core.retries import BudgetTable
-from dotterelgate_core.sharing import HeartbeatHeard
+from dotterelgate_core.sharing import HeartbeatReceived
 from dotterelgate_core.splits import SplitTable
 from dotterelgate_core.state import DaemonState, Limits
 from dotterelgate_core.store_control import ConfigurationStored, make_store_pipeline
@@ -101,7 +101,7 @@
 
     def hear_peer(self, name="front-2", zone=ZONE, in_flight=None, *, can_decide=True):
         """Hear a heartbeat."""
-        heard = HeartbeatHeard(
+        heard = HeartbeatReceived(
             now=self.now,
             peer=name,
             incarnation="a",
--- a/features/subjects/schedules.py
+++ b/features/subjects/schedules.py
@@ -198,14 +198,14 @@
         self._daemons[name].is_dead = True
         if is_gone:
             for other in self._daemons.values():
-                other.state.peers.gone.add(name)
+                other.state.peers.removed.add(name)
         self._clock.schedule(self._random.uniform(0.5, 8), lambda: self._restart(name))
 
     def _restart(self, name: str) -> None:
         if not self._daemons[name].is_dead:
             return
         for other in self._daemons.values():
-            other.state.peers.gone.discard(name)
+            other.state.peers.removed.discard(name)
         self._daemons[name] = self._make_daemon(name)
         self._meet()
 
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/model.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/model.py
@@ -300,7 +300,7 @@
     def _tick(self) -> None:
         for name, peer in self.peers.items():
             if not (peer.is_dead or peer.is_frozen or self._is_cut(peer)):
-                self.state.peers.hear(name, peer.incarnation, self.clock.now)
+                self.state.peers.note_heartbeat(name, peer.incarnation, self.clock.now)
         self._run(messages.Ticked(now=self.clock.now))
 
     def _read_log(self) -> None:
--- a/packages/dotterelgate-border/src/dotterelgate_border/datagrams.py
+++ b/packages/dotterelgate-border/src/dotterelgate_border/datagrams.py
@@ -70,13 +70,13 @@
 class LoadNews(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=2):
     """Loads that changed since the sender's last news.
 
-    :param is_far: whether they are all the loads of another zone, summed there
+    :param is_remote_zone: whether they are all the loads of another zone, summed there
     """
 
     sender: str
     incarnation: str
     loads: list[LoadEntry]
-    is_far: bool = False
+    is_remote_zone: bool = False
 
 
 class RegistryEntry(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
--- a/packages/dotterelgate-core/src/dotterelgate_core/admission.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/admission.py
@@ -100,7 +100,7 @@
     queue = state.waiting.find(routed.service.name)
     if policy.shared and not policy.granted:
         # The daemons of the zone share the slots, and their queues are alike.
-        slots = max(1, slots // state.sharers)
+        slots = max(1, slots // state.zone_daemons)
     return queue.estimate_wait(route.priority, long=route.long, slots=slots)
 
 
@@ -155,7 +155,7 @@
         "servers": len(pool),
         "usable": sum(each.is_eligible(now) for each in pool),
         "in_use": sum(each.count_load() for each in pool),
-        "daemons": state.sharers,
+        "daemons": state.zone_daemons,
     }
     decision = Decision(
         part="admission",
--- a/packages/dotterelgate-core/src/dotterelgate_core/control.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/control.py
@@ -165,12 +165,12 @@
             continue
         if vm.state == "gone":
             state.peers.listed.pop(vm.name, None)
-            state.peers.gone.add(vm.name)
+            state.peers.removed.add(vm.name)
             continue
-        state.peers.gone.discard(vm.name)
+        state.peers.removed.discard(vm.name)
         peer = state.peers.listed.get(vm.name)
         if peer is None or peer.address != vm.address:
-            peer = Peer(name=vm.name, address=vm.address, zone=vm.zone, heard_at=read.now)
+            peer = Peer(name=vm.name, address=vm.address, zone=vm.zone, seen_at=read.now)
             state.peers.listed[vm.name] = peer
         peer.listed_leaving = vm.state == "leaving"
 
@@ -195,7 +195,7 @@
         if not isinstance(message, ControlTicked) or position.read_to is None:
             return (message,)
         usable = state.peers.select_usable()
-        due = state.leases.select_due(message.now, usable, state.peers.gone, position.oldest)
+        due = state.leases.select_due(message.now, usable, state.peers.removed, position.oldest)
         if not due:
             return (message,)
         moment = Moment(now=message.now, wall=message.wall)
--- a/packages/dotterelgate-core/src/dotterelgate_core/handovers.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/handovers.py
@@ -161,7 +161,7 @@
 def _send_keys(state: DaemonState, table: HandoverTable, now: float) -> list[Message]:
     orders: list[Message] = []
     for resource, outgoing in list(table.outgoing.items()):
-        if outgoing.successor in state.peers.gone:
+        if outgoing.successor in state.peers.removed:
             del table.outgoing[resource]
         elif _is_quiet(state, resource) and now - outgoing.sent_at >= RESEND_SECONDS:
             outgoing.sent_at = now
--- a/packages/dotterelgate-core/src/dotterelgate_core/holding.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/holding.py
@@ -132,7 +132,7 @@
 
 def _find_other_holder(state: DaemonState, resource: str) -> str | None:
     grant = state.leases.find_holder(resource)
-    if grant is None or grant.holder == state.name or grant.holder in state.peers.gone:
+    if grant is None or grant.holder == state.name or grant.holder in state.peers.removed:
         return None
     return grant.holder if state.peers.can_use(grant.holder) else None
 
--- a/packages/dotterelgate-core/src/dotterelgate_core/leases.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/leases.py
@@ -201,12 +201,12 @@
         return Claim(id=claim_id, previous=previous, grant=grant)
 
     def select_due(
-        self, now: float, usable: Collection[str], gone: Collection[str], oldest: int
+        self, now: float, usable: Collection[str], removed: Collection[str], oldest: int
     ) -> list[str]:
         """Select the resources that this daemon should claim or renew now.
 
         :param usable: names of daemons that may take work
-        :param gone: names of daemons that cannot act any more
+        :param removed: names of daemons that cannot act any more
         :param oldest: oldest offset that the log retains
         """
         due = []
@@ -215,7 +215,7 @@
                 continue
             lease.chain.expire(oldest=oldest)
             is_renewal = self._is_renewal_due(lease, now)
-            if is_renewal or self._is_claim_due(resource, lease, now, usable, gone):
+            if is_renewal or self._is_claim_due(resource, lease, now, usable, removed):
                 due.append(resource)
         return due
 
@@ -230,17 +230,17 @@
         lease: Lease,
         now: float,
         usable: Collection[str],
-        gone: Collection[str],
+        removed: Collection[str],
     ) -> bool:
         if lease.tenure is not None or self.holder not in usable:
             return False
-        free_since = self._find_free_since(lease, gone)
+        free_since = self._find_free_since(lease, removed)
         if free_since is None:
             return False
         rank = rank_by_rendezvous(resource, usable).index(self.holder)
         return now >= free_since + rank * RANK_DELAY_SECONDS
 
-    def _find_free_since(self, lease: Lease, gone: Collection[str]) -> float | None:
+    def _find_free_since(self, lease: Lease, removed: Collection[str]) -> float | None:
         chain = lease.chain
         if not chain.known:
             # Grants that the log no longer retains may still be running.
@@ -250,7 +250,7 @@
         grant: Grant | None = chain.current.body
         if grant is None:
             return lease.read_at + self._outlast(self.length)
-        if grant.holder in gone or self._is_earlier_run(grant):
+        if grant.holder in removed or self._is_earlier_run(grant):
             return lease.read_at
         return lease.read_at + self._outlast(grant.length)
 
--- a/packages/dotterelgate-core/src/dotterelgate_core/owners.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/owners.py
@@ -7,7 +7,7 @@
 
 from dotterelgate_core.peers import rank_by_rendezvous
 from dotterelgate_core.policies import GRANTED_POLICIES
-from dotterelgate_core.sharing import select_alive, select_near
+from dotterelgate_core.sharing import select_alive, select_zone_peers
 
 if TYPE_CHECKING:
     from dotterelgate_core.state import DaemonState
@@ -80,6 +80,6 @@
 def select_listeners(state: DaemonState, service: str, now: float) -> list[str]:
     """Name the peers of the zone that decide by the load of a service."""
     if not is_granted(state, service):
-        return select_near(state, now)
+        return select_zone_peers(state, now)
     owners = list_owners(state, service, now, state.zone)
     return [name for name in owners if name != state.name]
--- a/packages/dotterelgate-core/src/dotterelgate_core/peers.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/peers.py
@@ -28,7 +28,7 @@
     :param can_decide: whether it knows a configuration and backend servers
     :param listed_leaving: whether the platform lists its VM as leaving
     :param is_suspected: whether it left a question unanswered and was not heard since
-    :param heard_at: monotonic second of its last message
+    :param seen_at: monotonic second of its last message
     :param asked_at: monotonic second of the oldest question that it has not answered
     """
 
@@ -40,7 +40,7 @@
     can_decide: bool = True
     listed_leaving: bool = False
     is_suspected: bool = False
-    heard_at: float = 0.0
+    seen_at: float = 0.0
     asked_at: float | None = None
     waiting: set[int] = field(default_factory=set)
 
@@ -51,13 +51,13 @@
 
     :param name: name of this daemon
     :param listed: peers by name
-    :param gone: names of VMs that the platform says cannot act any more
+    :param removed: names of VMs that the platform says cannot act any more
     :param leaving: whether this daemon stops
     """
 
     name: str
     listed: dict[str, Peer] = field(default_factory=dict)
-    gone: set[str] = field(default_factory=set)
+    removed: set[str] = field(default_factory=set)
     leaving: bool = False
 
     def select_usable(self) -> list[str]:
@@ -71,7 +71,7 @@
             usable.append(self.name)
         return usable
 
-    def hear(self, name: str, incarnation: str, now: float) -> None:
+    def note_heartbeat(self, name: str, incarnation: str, now: float) -> None:
         """Note that a message of a peer arrived; a new run is not leaving."""
         peer = self.listed.get(name)
         if peer is None:
@@ -79,7 +79,7 @@
         if peer.incarnation != incarnation:
             peer.incarnation = incarnation
             peer.leaving = False
-        peer.heard_at = now
+        peer.seen_at = now
         peer.asked_at = None
         peer.is_suspected = False
 
--- a/packages/dotterelgate-core/src/dotterelgate_core/sharing.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/sharing.py
@@ -18,24 +18,24 @@
     from dotterelgate_core.state import DaemonState
 
 __all__ = [
-    "HeartbeatHeard",
-    "LoadHeard",
+    "HeartbeatReceived",
+    "LoadsReceived",
     "ServerLoad",
-    "find_far_scale",
+    "find_remote_interval_factor",
     "free_slots",
     "make_sharing_filter",
     "select_alive",
-    "select_near",
+    "select_zone_peers",
 ]
 
 # Heartbeats come every 0.25 s in an availability zone; four in a row may be lost.
 SILENCE_SECONDS = 1.2
 # Other zones hear every eighth of them, where there are few peers; one in a row may be
 # lost.
-FAR_SILENCE_SECONDS = 4.5
+REMOTE_SILENCE_SECONDS = 4.5
 # Peers in other zones that may be told at the full rate: bytes between zones cost, and
 # heartbeats from each to each grow with the square of the daemons.
-FAR_PEERS = 16
+REMOTE_PEERS = 16
 # Counts that nobody repeats are looked for this often.
 FORGET_SECONDS = 0.2
 
@@ -60,20 +60,20 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class LoadHeard:
+class LoadsReceived:
     """A peer tells changed loads.
 
-    :param is_far: whether it speaks for another availability zone as a whole
+    :param is_remote_zone: whether it speaks for another availability zone as a whole
     """
 
     now: float
     peer: str
     loads: tuple[ServerLoad, ...]
-    is_far: bool = False
+    is_remote_zone: bool = False
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class HeartbeatHeard:
+class HeartbeatReceived:
     """A peer is alive.
 
     :param in_flight: its requests at each backend server where it has any
@@ -90,33 +90,33 @@
     can_decide: bool = True
 
 
-def find_far_scale(state: DaemonState) -> int:
+def find_remote_interval_factor(state: DaemonState) -> int:
     """Find how many times more rarely other zones are told, by the number of peers there."""
-    far = sum(peer.zone != state.zone for peer in state.peers.listed.values())
-    return max(1, -(-far // FAR_PEERS))
+    remote = sum(peer.zone != state.zone for peer in state.peers.listed.values())
+    return max(1, -(-remote // REMOTE_PEERS))
 
 
 def select_alive(state: DaemonState, now: float, zone: str) -> list[str]:
     """Name the daemons of a zone that were heard lately, this one included."""
     silence = SILENCE_SECONDS
     if zone != state.zone:
-        silence = FAR_SILENCE_SECONDS * find_far_scale(state)
+        silence = REMOTE_SILENCE_SECONDS * find_remote_interval_factor(state)
     alive = [
         peer.name
         for peer in state.peers.listed.values()
-        if peer.zone == zone and not peer.leaving and now - peer.heard_at <= silence
+        if peer.zone == zone and not peer.leaving and now - peer.seen_at <= silence
     ]
     if zone == state.zone and not state.peers.leaving:
         alive.append(state.name)
     return alive
 
 
-def select_near(state: DaemonState, now: float) -> list[str]:
+def select_zone_peers(state: DaemonState, now: float) -> list[str]:
     """Name the peers of the own zone that take requests; those that stop still do."""
     return [
         peer.name
         for peer in state.peers.listed.values()
-        if peer.zone == state.zone and now - peer.heard_at <= SILENCE_SECONDS
+        if peer.zone == state.zone and now - peer.seen_at <= SILENCE_SECONDS
     ]
 
 
@@ -125,37 +125,37 @@
     forgot_at = float("-inf")
 
     def share(message: Message) -> Iterable[Message]:
-        if isinstance(message, LoadHeard):
+        if isinstance(message, LoadsReceived):
             return _take_loads(state, message)
-        if isinstance(message, HeartbeatHeard):
+        if isinstance(message, HeartbeatReceived):
             return _take_heartbeat(state, message)
         if isinstance(message, ControlTicked):
             nonlocal forgot_at
             if message.now - forgot_at < FORGET_SECONDS:
                 return (message,)
             forgot_at = message.now
-            state.sharers = max(1, len(select_alive(state, message.now, state.zone)))
+            state.zone_daemons = max(1, len(select_alive(state, message.now, state.zone)))
             return [*_forget_old(state, message.now), message]
         return (message,)
 
     return share
 
 
-def _take_loads(state: DaemonState, heard: LoadHeard) -> list[Message]:
+def _take_loads(state: DaemonState, heard: LoadsReceived) -> list[Message]:
     services: dict[str, None] = {}
     for load in heard.loads:
         server = state.servers.states.get(load.server)
         if server is None:
             continue
-        if heard.is_far:
-            _take_far_load(state, server, load, heard)
+        if heard.is_remote_zone:
+            _apply_remote_load(state, server, load, heard)
         else:
             _take_load(server, load, heard)
         services[server.service] = None
     return free_slots(state, services, heard.now)
 
 
-def _take_load(server: ServerState, load: ServerLoad, heard: LoadHeard) -> None:
+def _take_load(server: ServerState, load: ServerLoad, heard: LoadsReceived) -> None:
     server.view.note_peer(heard.peer, load.in_flight, heard.now)
     if load.report is not None:
         server.view.note_report(load.report, server.in_flight, heard.now - load.age)
@@ -165,8 +165,8 @@
         server.view.note_pace(load.pace, heard.now)
 
 
-def _take_far_load(
-    state: DaemonState, server: ServerState, load: ServerLoad, heard: LoadHeard
+def _apply_remote_load(
+    state: DaemonState, server: ServerState, load: ServerLoad, heard: LoadsReceived
 ) -> None:
     """Take the sum of another zone, and pass it on within this one."""
     if load.report is None or server.server.zone == state.zone:
@@ -176,17 +176,17 @@
     state.servers.sampled.add(server.server.name)
 
 
-def _take_heartbeat(state: DaemonState, heard: HeartbeatHeard) -> list[Message]:
+def _take_heartbeat(state: DaemonState, heard: HeartbeatReceived) -> list[Message]:
     peer = state.peers.listed.get(heard.peer)
     messages: list[Message] = []
     if peer is None or peer.incarnation != heard.incarnation:
         state.peers.listed[heard.peer] = peer = Peer(
-            name=heard.peer, address=heard.address, zone=heard.zone, heard_at=heard.now
+            name=heard.peer, address=heard.address, zone=heard.zone, seen_at=heard.now
         )
         _forget_peer(state, heard.peer)
         sentence = f"{heard.peer} of {heard.zone} is alive"
         messages.append(Decision(part="sharing", sentence=sentence, target=heard.peer))
-    state.peers.hear(heard.peer, heard.incarnation, heard.now)
+    state.peers.note_heartbeat(heard.peer, heard.incarnation, heard.now)
     peer.address = heard.address
     peer.leaving = heard.is_leaving
     peer.can_decide = heard.can_decide
@@ -195,7 +195,7 @@
     return messages
 
 
-def _take_counts(state: DaemonState, heard: HeartbeatHeard) -> None:
+def _take_counts(state: DaemonState, heard: HeartbeatReceived) -> None:
     for name, server in state.servers.states.items():
         count = heard.in_flight.get(name, 0)
         if not count and heard.peer not in server.view.peers:
--- a/packages/dotterelgate-core/src/dotterelgate_core/state.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/state.py
@@ -44,12 +44,12 @@
     """The state that the filters share; each part belongs to one module.
 
     :param zone: availability zone of this daemon
-    :param sharers: daemons that share the backend servers with this one, itself included
+    :param zone_daemons: daemons that share the backend servers with this one, itself included
     """
 
     name: str
     zone: str = ""
-    sharers: int = 1
+    zone_daemons: int = 1
     limits: Limits
     peers: PeerTable
     leases: LeaseTable
--- a/packages/dotterelgate-core/src/dotterelgate_core/store_control.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/store_control.py
@@ -46,8 +46,8 @@
 
     It reads ``ConfigurationStored``, ``RegistrationRead``, ``RegistryListed``,
     ``RegistryReadEnded``, ``RegistryReadFailed``, ``ConfigurationReadEnded``,
-    ``ConfigurationReadFailed``, ``NewsHeard``, ``LoadHeard``, ``HeartbeatHeard``,
-    ``ProbeEnded`` and ``ControlTicked``. It writes ``ReadRegistry``,
+    ``ConfigurationReadFailed``, ``RegistryUpdateReceived``, ``LoadsReceived``,
+    ``HeartbeatReceived``, ``ProbeEnded`` and ``ControlTicked``. It writes ``ReadRegistry``,
     ``ReadConfiguration``, ``Probe``, ``ConfigurationChanged``, ``SlotFreed`` and ``Decision``.
     """
     return connect(
--- a/packages/dotterelgate-core/src/dotterelgate_core/store_reading.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/store_reading.py
@@ -21,12 +21,12 @@
 __all__ = [
     "ConfigurationReadEnded",
     "ConfigurationReadFailed",
-    "NewsHeard",
     "ReadConfiguration",
     "ReadRegistry",
     "ReadingState",
     "RegistryReadEnded",
     "RegistryReadFailed",
+    "RegistryUpdateReceived",
     "make_reading_filter",
 ]
 
@@ -95,7 +95,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class NewsHeard:
+class RegistryUpdateReceived:
     """A peer read the registry, and this daemon lacks nothing of what it read.
 
     :param returned_at: monotonic second at which the peer saw the store return
@@ -166,7 +166,7 @@
             reading.failures += 1
             registry.is_away = reading.failures >= FAILURES_OF_AN_OUTAGE
             return ()
-        if isinstance(message, NewsHeard):
+        if isinstance(message, RegistryUpdateReceived):
             return _take_news(registry, reading, message)
         if isinstance(message, (ConfigurationReadEnded, ConfigurationReadFailed)):
             _end_configuration(reading.configuration, message)
@@ -251,7 +251,9 @@
     return [StoreReturned(now=now)] if registry.is_away else []
 
 
-def _take_news(registry: RegistryState, reading: ReadingState, news: NewsHeard) -> list[Message]:
+def _take_news(
+    registry: RegistryState, reading: ReadingState, news: RegistryUpdateReceived
+) -> list[Message]:
     reading.current_at = max(reading.current_at, news.now)
     reading.heard_at = news.now
     registry.is_away = False
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/following.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/following.py
@@ -134,7 +134,7 @@
             if self._links.connect_peer(peer.name, peer.address):
                 # The first message tells the peer which run of this daemon it meets.
                 self._links.send(peer.name, Ping(**self._sign))
-        for name in self._state.peers.gone:
+        for name in self._state.peers.removed:
             self._links.disconnect_peer(name)
         self.ask_peers()
 
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/mesh.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/mesh.py
@@ -19,11 +19,11 @@
 from dotterelgate_core.loads import LoadReport
 from dotterelgate_core.owners import find_owner, list_owners, select_listeners
 from dotterelgate_core.sharing import (
-    HeartbeatHeard,
-    LoadHeard,
+    HeartbeatReceived,
+    LoadsReceived,
     ServerLoad,
-    find_far_scale,
-    select_near,
+    find_remote_interval_factor,
+    select_zone_peers,
 )
 from dotterelgate_daemon.polling import Watch
 from dotterelgate_daemon.streams import bind_to
@@ -116,24 +116,26 @@
 
         A daemon that stops tells all at once; so does one that starts, by its greeting.
         """
-        is_far = self._beats % (FAR_EVERY * find_far_scale(self._state)) == 0
+        includes_remote = self._beats % (FAR_EVERY * find_remote_interval_factor(self._state)) == 0
         if self._state.peers.leaving and not self._has_told_stop:
-            is_far = self._has_told_stop = True
+            includes_remote = self._has_told_stop = True
         self._beats += 1
-        near = encode_datagram(self._build_heartbeat(counts=True))
-        far = encode_datagram(self._build_heartbeat(counts=False)) if is_far else b""
+        zone_data = encode_datagram(self._build_heartbeat(counts=True))
+        remote_data = (
+            encode_datagram(self._build_heartbeat(counts=False)) if includes_remote else b""
+        )
         for peer in self._state.peers.listed.values():
             if peer.zone == self._state.zone:
-                self.send(peer.address, near)
-            elif is_far:
-                self.send(peer.address, far)
+                self.send(peer.address, zone_data)
+            elif includes_remote:
+                self.send(peer.address, remote_data)
 
     def relay(self) -> None:
         """Tell the loads of the own zone to the owners of each other zone."""
         now = time.monotonic()
         state = self._state
         self._relays += 1
-        if self._relays % min(find_far_scale(state), MOST_RELAY_SCALE):
+        if self._relays % min(find_remote_interval_factor(state), MOST_RELAY_SCALE):
             return
         zones = {peer.zone for peer in state.peers.listed.values()} - {state.zone}
         for service, pool in state.servers.by_service.items():
@@ -145,7 +147,9 @@
 
     def _relay(self, service: str, loads: list[LoadEntry], zones: set[str], now: float) -> None:
         state = self._state
-        news = LoadNews(sender=state.name, incarnation=self._incarnation, loads=loads, is_far=True)
+        news = LoadNews(
+            sender=state.name, incarnation=self._incarnation, loads=loads, is_remote_zone=True
+        )
         data = encode_datagram(news)
         for zone in zones:
             for name in list_owners(state, service, now, zone)[:1]:
@@ -178,8 +182,8 @@
 
     def list_near(self) -> list[str]:
         """List the addresses of the daemons of the own zone that are heard."""
-        near = select_near(self._state, time.monotonic())
-        return [self._state.peers.listed[name].address for name in near]
+        names = select_zone_peers(self._state, time.monotonic())
+        return [self._state.peers.listed[name].address for name in names]
 
     @staticmethod
     def _bind(address: str) -> socket.socket:
@@ -251,7 +255,7 @@
             self.take_news(message)
 
     def _take_heartbeat(self, message: Heartbeat) -> None:
-        heard = HeartbeatHeard(
+        heard = HeartbeatReceived(
             now=time.monotonic(),
             peer=message.sender,
             incarnation=message.incarnation,
@@ -272,8 +276,8 @@
 
 
 def _is_news(server: ServerState, state: DaemonState, now: float) -> bool:
-    is_near = server.server.zone == state.zone
-    return is_near and now - server.view.reported_at < FAR_AGE_SECONDS
+    is_own_zone = server.server.zone == state.zone
+    return is_own_zone and now - server.view.reported_at < FAR_AGE_SECONDS
 
 
 def build_load_entry(server: ServerState, now: float) -> LoadEntry:
@@ -310,10 +314,12 @@
     )
 
 
-def read_load_news(message: LoadNews, now: float) -> LoadHeard:
+def read_load_news(message: LoadNews, now: float) -> LoadsReceived:
     """Read a peer's news into the message of the decisions."""
     loads = tuple(_read_load(entry) for entry in message.loads)
-    return LoadHeard(now=now, peer=message.sender, loads=loads, is_far=message.is_far)
+    return LoadsReceived(
+        now=now, peer=message.sender, loads=loads, is_remote_zone=message.is_remote_zone
+    )
 
 
 def _read_load(entry: LoadEntry) -> ServerLoad:
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/peering.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/peering.py
@@ -81,7 +81,7 @@
             return
         peer.waiting.add(call.id)
         if peer.asked_at is None and len(peer.waiting) == 1:
-            peer.heard_at = time.monotonic()
+            peer.seen_at = time.monotonic()
 
     def withdraw(self, call_id: int, peer_name: str) -> None:
         """Tell a peer that nobody waits for a call any more."""
@@ -96,7 +96,7 @@
 
         :returns: whether it was one
         """
-        self._peers.hear(message.sender, message.incarnation, time.monotonic())
+        self._peers.note_heartbeat(message.sender, message.incarnation, time.monotonic())
         if isinstance(message, HandedCall):
             self._take_call(message)
         elif isinstance(message, AnswerPart):
@@ -118,7 +118,7 @@
         for peer in list(self._peers.listed.values()):
             if gap > TICK_GAP_SECONDS and not peer.is_suspected:
                 # This process was paused, so the silence is its own.
-                peer.heard_at = now
+                peer.seen_at = now
                 peer.asked_at = None
             elif peer.is_suspected:
                 self._ask_again(peer, now)
@@ -127,7 +127,7 @@
             elif peer.asked_at is not None:
                 if now - peer.asked_at > SILENT_AFTER_SECONDS:
                     self._give_up(peer.name)
-            elif now - peer.heard_at > PING_AFTER_SECONDS:
+            elif now - peer.seen_at > PING_AFTER_SECONDS:
                 self._ask(peer, now)
 
     def _ask(self, peer: Peer, now: float) -> None:
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/registry_following.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/registry_following.py
@@ -15,7 +15,11 @@
 )
 from dotterelgate_core.codes import Refusal
 from dotterelgate_core.registry import RegistrationRead, RegistryListed
-from dotterelgate_core.store_reading import NewsHeard, RegistryReadEnded, RegistryReadFailed
+from dotterelgate_core.store_reading import (
+    RegistryReadEnded,
+    RegistryReadFailed,
+    RegistryUpdateReceived,
+)
 from dotterelgate_daemon.keyed_reading import Dependency, KeyedReader
 from dotterelgate_daemon.store import StoreRecord, Topic
 
@@ -213,7 +217,7 @@
             returned_at = float("-inf")
         position = self._reader.position
         if position is not None and position >= news.start:
-            self._tell(NewsHeard(now=now, returned_at=returned_at))
+            self._tell(RegistryUpdateReceived(now=now, returned_at=returned_at))
             self._reader.position = max(position, news.end)
         self._take_records(records, news.sender)
 
