--- a/packages/dotterelgate-core/src/dotterelgate_core/admission.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/admission.py
@@ -7,7 +7,7 @@
 from dotterelgate_core import codes
 from dotterelgate_core.codes import Refusal
 from dotterelgate_core.messages import CallRouted, CallSettled, Decision, SlotFreed, Ticked
-from dotterelgate_core.retry_after import advise_return
+from dotterelgate_core.retry_after import choose_retry_after
 from dotterelgate_core.sharing import free_slots
 
 if TYPE_CHECKING:
@@ -79,7 +79,9 @@
     eligible = [each for each in pool if each.is_eligible(routed.now)]
     if not eligible:
         reason = f"no backend server of {service.name} can be used"
-        return Refusal(codes.NO_SERVER, reason, retry_after=advise_return(call_state, routed.now))
+        return Refusal(
+            codes.NO_SERVER, reason, retry_after=choose_retry_after(call_state, routed.now)
+        )
     wait = _estimate_wait(state, policy, routed, eligible)
     allowed = min(service.queue_limit, routed.deadline - routed.now)
     if policy.shared:
@@ -87,7 +89,7 @@
     if wait <= allowed:
         return None
     reason = f"the expected wait of {wait * 1000:.0f} ms is too long"
-    return Refusal(codes.OVERLOADED, reason, retry_after=advise_return(call_state, routed.now))
+    return Refusal(codes.OVERLOADED, reason, retry_after=choose_retry_after(call_state, routed.now))
 
 
 def _estimate_wait(
@@ -136,7 +138,7 @@
             continue
         call_state.queued = False
         reason = f"no backend server came free within {waited * 1000:.0f} ms"
-        advice = advise_return(call_state, now)
+        advice = choose_retry_after(call_state, now)
         refusal = Refusal(codes.OVERLOADED, reason, retry_after=advice)
         messages.extend(_end_refused(state, call_state, refusal, now))
     return messages
--- a/packages/dotterelgate-core/src/dotterelgate_core/asking.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/asking.py
@@ -107,7 +107,7 @@
     is_local = call_state.requester is not None or owner == state.name
     if is_local or not policies[service.policy].granted:
         return [routed]
-    if call_state.lost_owners >= OWNERS_LIMIT:
+    if call_state.failed_owners >= OWNERS_LIMIT:
         return [routed]
     pool = state.servers.by_service.get(service.name, [])
     if not any(each.is_eligible(routed.now) for each in pool):
@@ -227,7 +227,7 @@
     """Try the next owner, or choose here once enough were tried."""
     call_id = call_state.call.id
     pending = asking.requests.pop(call_id)
-    call_state.lost_owners += 1
+    call_state.failed_owners += 1
     decision = Decision(
         part="asking",
         sentence=f"{pending.owner} is passed over as owner: {reason}",
--- a/packages/dotterelgate-core/src/dotterelgate_core/backoff.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/backoff.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-__all__ = ["find_pause"]
+__all__ = ["compute_backoff"]
 
 
-def find_pause(failures: int, *, first: float, longest: float) -> float:
+def compute_backoff(failures: int, *, first: float, longest: float) -> float:
     """Find the pause after failures in a row: doubled by each, up to a limit.
 
     :param first: seconds after the first failure
--- a/packages/dotterelgate-core/src/dotterelgate_core/calls.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/calls.py
@@ -9,10 +9,10 @@
 if TYPE_CHECKING:
     from dotterelgate_core.messages import Call, CallRouted
 
-__all__ = ["WAY_SECONDS", "CallState", "CallTable"]
+__all__ = ["CALLER_NETWORK_SECONDS", "CallState", "CallTable"]
 
 # Time on the way from and to the caller, which the target includes.
-WAY_SECONDS = 0.016
+CALLER_NETWORK_SECONDS = 0.016
 # Slowdown that a call of usual luck meets: one of several requests at a backend server.
 EXPECTED_FACTOR = 1.5
 
@@ -29,8 +29,8 @@
     :param avoided: backend servers that failed it
     :param digest: digest of the key that this daemon holds for it
     :param fence: wall-clock second after which it must not start
-    :param local: whether it must not be handed to an owner
-    :param caller_left: whether nobody waits for the answer any more
+    :param must_stay_local: whether it must not be handed to an owner
+    :param caller_disconnected: whether nobody waits for the answer any more
     :param queued: whether it waits for a slot
     :param joined: whether it waits for the answer to another call with its key
     :param arrived: monotonic second at which it was routed first
@@ -39,7 +39,7 @@
     :param admitted: whether it was let into the queue
     :param work: seconds that it is expected to take on a calm backend server
     :param may_have_run: whether an attempt ran, or may have
-    :param lost_owners: owners that were asked for a slot and passed over
+    :param failed_owners: owners that were asked for a slot and passed over
     :param requester: daemon of the zone that has the call and asks for a slot
     """
 
@@ -51,8 +51,8 @@
     avoided: set[str] = field(default_factory=set)
     digest: int | None = None
     fence: float | None = None
-    local: bool = False
-    caller_left: bool = False
+    must_stay_local: bool = False
+    caller_disconnected: bool = False
     queued: bool = False
     joined: bool = False
     arrived: float = 0.0
@@ -62,7 +62,7 @@
     work: float = 0.0
     may_have_run: bool = False
     requester: str | None = None
-    lost_owners: int = 0
+    failed_owners: int = 0
 
     def patient_until(self, share: float) -> float:
         """Tell until when it may wait for a better backend server.
@@ -76,7 +76,7 @@
     def can_reach_target(self, now: float) -> bool:
         """Tell whether an answer within the target can be expected if it is sent now."""
         target = self.routed.route.target or self.routed.route.timeout
-        return now + EXPECTED_FACTOR * self.work + WAY_SECONDS <= self.arrived + target
+        return now + EXPECTED_FACTOR * self.work + CALLER_NETWORK_SECONDS <= self.arrived + target
 
     @property
     def call(self) -> Call:
--- a/packages/dotterelgate-core/src/dotterelgate_core/codes.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/codes.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-__all__ = ["RESULT_CODES", "Outcome", "Refusal", "ResultCode", "speak_for_attempt"]
+__all__ = ["RESULT_CODES", "Outcome", "Refusal", "ResultCode", "limit_to_attempt"]
 
 
 class Outcome(str, Enum):
@@ -41,26 +41,26 @@
 
     :param code: the result code
     :param reason: short sentence for the log and the caller
-    :param spoken_for: narrower outcome where the code's own would say too much
+    :param outcome_override: narrower outcome where the code's own would say too much
     :param retry_after: seconds after which the caller should come back, if it should
     """
 
     code: ResultCode
     reason: str
-    spoken_for: Outcome | None = None
+    outcome_override: Outcome | None = None
     retry_after: float | None = None
 
     @property
     def outcome(self) -> Outcome:
         """What the caller may conclude."""
-        return self.spoken_for or self.code.outcome
+        return self.outcome_override or self.code.outcome
 
 
-def speak_for_attempt(refusal: Refusal) -> Refusal:
+def limit_to_attempt(refusal: Refusal) -> Refusal:
     """Narrow "not run" to this attempt, where earlier ones are not known."""
     if refusal.outcome is not Outcome.NOT_RUN:
         return refusal
-    return replace(refusal, spoken_for=Outcome.ATTEMPT_NOT_RUN)
+    return replace(refusal, outcome_override=Outcome.ATTEMPT_NOT_RUN)
 
 
 _RAN = Outcome.RAN
--- a/packages/dotterelgate-core/src/dotterelgate_core/expected_time.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/expected_time.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from dotterelgate_core.calls import WAY_SECONDS
+from dotterelgate_core.calls import CALLER_NETWORK_SECONDS
 from dotterelgate_core.loads import CONNECTED_SECONDS
 
 if TYPE_CHECKING:
@@ -14,7 +14,7 @@
     from dotterelgate_core.calls import CallState
     from dotterelgate_core.servers import ServerState
 
-__all__ = ["estimate_factor", "make_soonest", "weigh_detours"]
+__all__ = ["estimate_factor", "make_expected_time_choice", "weigh_detours"]
 
 # Share of its slots up to which a backend server keeps its speed.
 CALM_SHARE = 0.8
@@ -45,7 +45,7 @@
 JITTER_SHARE = 0.05
 
 
-def make_soonest(
+def make_expected_time_choice(
     random: Random, zone: str
 ) -> Callable[[Sequence[ServerState], CallState, float], ServerState | None]:
     """Make the choice by the expected time, the own availability zone first.
@@ -88,10 +88,13 @@
     routed = call.routed
     finish = now + factor * call.work
     target = routed.route.target or routed.route.timeout
-    if finish + WAY_SECONDS <= call.arrived + target:
+    if finish + CALLER_NETWORK_SECONDS <= call.arrived + target:
         return True
     time = routed.deadline - call.arrived
-    return now >= call.arrived + LATE_SHARE * time and finish + WAY_SECONDS <= routed.deadline
+    return (
+        now >= call.arrived + LATE_SHARE * time
+        and finish + CALLER_NETWORK_SECONDS <= routed.deadline
+    )
 
 
 def find_usual_slowdown(states: Sequence[ServerState]) -> float:
--- a/packages/dotterelgate-core/src/dotterelgate_core/holding.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/holding.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from dotterelgate_core import codes
-from dotterelgate_core.codes import Refusal, speak_for_attempt
+from dotterelgate_core.codes import Refusal, limit_to_attempt
 from dotterelgate_core.keys import (
     KeyEntry,
     KeyRange,
@@ -102,7 +102,7 @@
         return [routed]
     if call.streamed:
         refusal = Refusal(codes.BODY_TOO_LARGE, "a request with a key must fit the body limit")
-        return [RefuseCall(call_id=call.id, refusal=speak_for_attempt(refusal))]
+        return [RefuseCall(call_id=call.id, refusal=limit_to_attempt(refusal))]
     digest = digest_key(routed.service.name, call.key or "")
     resource = find_range(digest, state.limits.key_ranges)
     if state.leases.holds(resource, routed.now, routed.wall):
--- a/packages/dotterelgate-core/src/dotterelgate_core/owning.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/owning.py
@@ -45,7 +45,7 @@
     call = routed.call
     if call.streamed or call.purpose is Purpose.OWN:
         return False
-    return not state.calls.states[call.id].local
+    return not state.calls.states[call.id].must_stay_local
 
 
 def _hand_over(state: DaemonState, routed: CallRouted, owner: str) -> list[Message]:
--- a/packages/dotterelgate-core/src/dotterelgate_core/policies.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/policies.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from dotterelgate_core.expected_time import make_soonest
+from dotterelgate_core.expected_time import make_expected_time_choice
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
@@ -49,17 +49,19 @@
     :param random: source of the random choices
     :param zone: availability zone of this daemon
     """
-    soonest = make_soonest(random, zone)
+    choose_expected_time = make_expected_time_choice(random, zone)
     policies = (
         Policy(
             name="granted_queue",
             owned=False,
             late=True,
-            choose=soonest,
+            choose=choose_expected_time,
             shared=True,
             granted=True,
         ),
-        Policy(name="shared_queue", owned=False, late=True, choose=soonest, shared=True),
+        Policy(
+            name="shared_queue", owned=False, late=True, choose=choose_expected_time, shared=True
+        ),
         Policy(name="owner_queue", owned=True, late=True, choose=choose_fastest),
         Policy(name="local_queue", owned=False, late=True, choose=choose_fastest),
         Policy(name="least_in_flight", owned=False, late=False, choose=make_least(random)),
--- a/packages/dotterelgate-core/src/dotterelgate_core/retry_after.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/retry_after.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from dotterelgate_core.calls import CallState
 
-__all__ = ["advise_return"]
+__all__ = ["choose_retry_after"]
 
 # A caller that comes back later than this share of its time has too little left.
 LEFT_SHARE = 0.3
@@ -17,7 +17,7 @@
 SPREAD_STEPS = 16
 
 
-def advise_return(call_state: CallState, now: float) -> float:
+def choose_retry_after(call_state: CallState, now: float) -> float:
     """Advise after how many seconds a caller should come back.
 
     :returns: at most a share of the time that the caller has left
--- a/packages/dotterelgate-core/src/dotterelgate_core/routes.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/routes.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from dotterelgate_core import codes
-from dotterelgate_core.codes import Refusal, speak_for_attempt
+from dotterelgate_core.codes import Refusal, limit_to_attempt
 from dotterelgate_core.messages import CallArrived, CallRouted, RefuseCall
 
 if TYPE_CHECKING:
@@ -78,7 +78,7 @@
 def _refuse(call: Call, code: ResultCode, reason: str) -> RefuseCall:
     refusal = Refusal(code, reason)
     if call.key is not None:
-        refusal = speak_for_attempt(refusal)
+        refusal = limit_to_attempt(refusal)
     return RefuseCall(call_id=call.id, refusal=refusal)
 
 
--- a/packages/dotterelgate-core/src/dotterelgate_core/servers.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/servers.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from dotterelgate_core.backoff import find_pause
+from dotterelgate_core.backoff import compute_backoff
 from dotterelgate_core.loads import LoadView
 
 if TYPE_CHECKING:
@@ -110,7 +110,7 @@
         self.used_at = now
         if self.failures < FAILURES_BEFORE_PAUSE:
             return
-        self.paused_until = now + find_pause(
+        self.paused_until = now + compute_backoff(
             self.failures - FAILURES_BEFORE_PAUSE + 1,
             first=PAUSE_SECONDS,
             longest=PAUSE_LIMIT_SECONDS,
--- a/packages/dotterelgate-core/src/dotterelgate_core/settling.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/settling.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from dotterelgate_core import codes
-from dotterelgate_core.calls import WAY_SECONDS
+from dotterelgate_core.calls import CALLER_NETWORK_SECONDS
 from dotterelgate_core.codes import Refusal
 from dotterelgate_core.learning import FIRST_FAILURE_STATUS
 from dotterelgate_core.messages import (
@@ -27,7 +27,7 @@
     Ticked,
 )
 from dotterelgate_core.observing import free_slot
-from dotterelgate_core.retry_after import advise_return
+from dotterelgate_core.retry_after import choose_retry_after
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -108,7 +108,7 @@
     refusal = Refusal(codes.CONNECT_FAILED, message.refusal.reason)
     if call_state.unsent >= UNSENT_LIMIT or call_state.attempts > 1:
         return _retry_or_refuse(state, call_state, message.now, refusal, message.server)
-    if call_state.caller_left or not _has_another(state, call_state, message):
+    if call_state.caller_disconnected or not _has_another(state, call_state, message):
         return _retry_or_refuse(state, call_state, message.now, refusal, message.server)
     call_state.unsent += 1
     call_state.attempts -= 1
@@ -133,7 +133,7 @@
     if not _may_retry(state, call_state, now):
         ran = False if refusal.code.outcome is codes.Outcome.NOT_RUN else None
         if ran is False:
-            refusal = replace(refusal, retry_after=advise_return(call_state, now))
+            refusal = replace(refusal, retry_after=choose_retry_after(call_state, now))
         return _end(now, call_state.call.id, refusal, ran=ran)
     return _try_again(call_state, now, refusal.reason, server)
 
@@ -155,9 +155,9 @@
     allowed = routed.route.attempts or state.limits.retry_attempts
     if call_state.attempts >= allowed or routed.call.retried:
         return False
-    if routed.call.streamed or call_state.caller_left and call_state.digest is None:
+    if routed.call.streamed or call_state.caller_disconnected and call_state.digest is None:
         return False
-    if now + call_state.work + WAY_SECONDS > routed.deadline:
+    if now + call_state.work + CALLER_NETWORK_SECONDS > routed.deadline:
         # The answer that there is, or its loss, is told while the caller waits.
         return False
     return state.retries.find(routed.service.name, routed.service.retry_share).spend()
@@ -202,7 +202,7 @@
 
 
 def _place_here(call_state: CallState, now: float) -> list[Message]:
-    call_state.local = True
+    call_state.must_stay_local = True
     decision = Decision(
         part="settling",
         sentence="the owner cannot be used; dispatching from here",
@@ -216,7 +216,7 @@
     call_state = state.calls.states.get(message.call_id)
     if call_state is None:
         return []
-    call_state.caller_left = True
+    call_state.caller_disconnected = True
     if not call_state.routed.route.idempotent and not call_state.queued:
         return []
     if call_state.digest is not None:
@@ -238,16 +238,16 @@
         # It must not get a slot that is freed at the same moment.
         call_state.queued = False
         refusal = Refusal(codes.DEADLINE_PASSED, "the time limit passed while waiting")
-        return _end(now, call_state.call.id, _speak_for_attempt(call_state, refusal), ran=False)
+        return _end(now, call_state.call.id, _limit_to_attempt(call_state, refusal), ran=False)
     refusal = Refusal(codes.DEADLINE_EXCEEDED, "the time limit passed after dispatch")
     if call_state.digest is not None:
         # The run goes on so that a repeat of the key can be told its answer.
-        call_state.caller_left = True
+        call_state.caller_disconnected = True
         return [RefuseCall(call_id=call_state.call.id, refusal=refusal, awaits_answer=True)]
     return _give_up(state, call_state, now, refusal)
 
 
-def _speak_for_attempt(call_state: CallState, refusal: Refusal) -> Refusal:
+def _limit_to_attempt(call_state: CallState, refusal: Refusal) -> Refusal:
     if call_state.call.key is None or call_state.digest is not None:
         return refusal
     return Refusal(codes.NO_HOLDER, refusal.reason)
@@ -282,7 +282,7 @@
             return _finish_answered(state, message)
         if isinstance(message, Relay):
             call_state = state.calls.states.pop(message.call_id, None)
-            if call_state is None or call_state.caller_left:
+            if call_state is None or call_state.caller_disconnected:
                 return (ReleaseCall(call_id=message.call_id),)
         return (message,)
 
@@ -293,7 +293,7 @@
     if settled.refusal is None:
         return []
     call_state = state.calls.states.pop(settled.call_id, None)
-    if call_state is None or call_state.caller_left:
+    if call_state is None or call_state.caller_disconnected:
         return [ReleaseCall(call_id=settled.call_id)]
     refusal = settled.refusal
     if call_state.may_have_run and refusal.outcome is codes.Outcome.NOT_RUN:
--- a/packages/dotterelgate-core/src/dotterelgate_core/store_reading.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/store_reading.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from dotterelgate_core.backoff import find_pause
+from dotterelgate_core.backoff import compute_backoff
 from dotterelgate_core.control_messages import ControlTicked
 from dotterelgate_core.peers import rank_by_rendezvous
 from dotterelgate_core.registry import StoreReturned
@@ -190,7 +190,7 @@
         return False
     if reading.is_asking and since < PATIENCE_SECONDS:
         return False
-    if since < _find_pause(reading.failures):
+    if since < _compute_backoff(reading.failures):
         return False
     place = _find_place(state, reading, now)
     if place == 0:
@@ -198,8 +198,8 @@
     return _is_missed(reading.current_at, place, now)
 
 
-def _find_pause(failures: int) -> float:
-    return find_pause(failures, first=FIRST_PAUSE_SECONDS, longest=LONGEST_PAUSE_SECONDS)
+def _compute_backoff(failures: int) -> float:
+    return compute_backoff(failures, first=FIRST_PAUSE_SECONDS, longest=LONGEST_PAUSE_SECONDS)
 
 
 def _find_place(state: DaemonState, reading: ReadingState, now: float) -> int:
@@ -219,7 +219,7 @@
     configuration = reading.configuration
     if configuration.is_asking:
         return []
-    if now - configuration.failed_at < _find_pause(configuration.failures):
+    if now - configuration.failed_at < _compute_backoff(configuration.failures):
         return []
     if configuration.has_read:
         if now - reading.started_at < ACQUAINTANCE_SECONDS:
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/keyed_reading.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/keyed_reading.py
@@ -8,7 +8,7 @@
 
 import structlog
 
-from dotterelgate_core.backoff import find_pause
+from dotterelgate_core.backoff import compute_backoff
 from dotterelgate_core.codes import Refusal
 
 if TYPE_CHECKING:
@@ -70,7 +70,9 @@
             self._since = time.monotonic()
             logger.warning(f"store: {self._name} is lost", reason=reason)
         self._failures += 1
-        return find_pause(self._failures, first=FIRST_PAUSE_SECONDS, longest=LONGEST_PAUSE_SECONDS)
+        return compute_backoff(
+            self._failures, first=FIRST_PAUSE_SECONDS, longest=LONGEST_PAUSE_SECONDS
+        )
 
 
 class KeyedReader:
