--- a/features/subjects/zone.py
+++ b/features/subjects/zone.py
@@ -7,7 +7,7 @@
 import random
 from dataclasses import dataclass, field
 
-from dotterelgate_border.datagrams import LoadNews
+from dotterelgate_border.datagrams import LoadUpdate
 from dotterelgate_core import messages
 from dotterelgate_core.control_messages import Probe
 from dotterelgate_core.owners import select_listeners
@@ -181,14 +181,14 @@
         loads = [build_load_entry(table.states[name], self.now) for name in names]
         table.changed.clear()
         table.sampled.clear()
-        news = LoadNews(sender=front.state.name, incarnation="a", loads=loads)
-        self._call_later(NEWS_SECONDS, lambda: self._spread(front, news))
+        update = LoadUpdate(sender=front.state.name, incarnation="a", loads=loads)
+        self._call_later(NEWS_SECONDS, lambda: self._spread(front, update))
 
-    def _spread(self, front: Front, news: LoadNews) -> None:
+    def _spread(self, front: Front, update: LoadUpdate) -> None:
         for name in select_listeners(front.state, "s", self.now):
             other = self._find(name)
             if other is not None and not self._is_lost():
-                self._take(other, other.tell(read_load_news(news, self.now)))
+                self._take(other, other.tell(read_load_news(update, self.now)))
 
     def _is_lost(self) -> bool:
         return self.loss > 0.0 and self._random.random() < self.loss
--- a/features/subjects/zone_schedules.py
+++ b/features/subjects/zone_schedules.py
@@ -6,7 +6,7 @@
 import itertools
 import random
 
-from dotterelgate_border.datagrams import LoadNews
+from dotterelgate_border.datagrams import LoadUpdate
 from dotterelgate_core import codes, messages
 from dotterelgate_core.codes import Refusal
 from dotterelgate_core.loads import LoadReport
@@ -152,9 +152,9 @@
         if not names:
             return
         loads = [build_load_entry(table.states[each], self.now) for each in names]
-        news = LoadNews(sender=name, incarnation="a", loads=loads)
+        update = LoadUpdate(sender=name, incarnation="a", loads=loads)
         for listener in select_listeners(front.state, "s", self.now):
-            self._send(listener, lambda to: to.tell(read_load_news(news, self.now)))
+            self._send(listener, lambda to: to.tell(read_load_news(update, self.now)))
 
     def _pick_front(self):
         names = sorted(set(self._fronts) - set(self._paused))
--- a/packages/dotterelgate-border/src/dotterelgate_border/datagrams.py
+++ b/packages/dotterelgate-border/src/dotterelgate_border/datagrams.py
@@ -5,20 +5,20 @@
 import msgspec
 
 __all__ = [
-    "ConfigurationNews",
+    "ConfigurationPart",
+    "ConfigurationRequest",
     "Datagram",
     "Heartbeat",
     "LoadEntry",
-    "LoadNews",
-    "NewsAsked",
-    "RegistryAsked",
+    "LoadUpdate",
     "RegistryEntry",
-    "RegistryNews",
-    "SlotAnswer",
-    "SlotQuestion",
-    "SlotRefusal",
-    "SlotReturn",
-    "SlotWait",
+    "RegistryRequest",
+    "RegistryUpdate",
+    "SlotDenialDatagram",
+    "SlotGrantDatagram",
+    "SlotQueuedDatagram",
+    "SlotRequestDatagram",
+    "SlotWithdrawalDatagram",
     "decode_datagram",
     "encode_datagram",
 ]
@@ -30,7 +30,7 @@
     :param address: where it takes datagrams
     :param revision: revision of the configuration that it has in force, 0 for none
     :param in_flight: requests that it has at each backend server, where any
-    :param answers: whether the receiver should answer with a heartbeat of its own
+    :param wants_reply: whether the receiver should answer with a heartbeat of its own
     :param can_decide: whether it knows a configuration and backend servers
     """
 
@@ -41,7 +41,7 @@
     is_leaving: bool
     revision: int
     in_flight: dict[str, int]
-    answers: bool = False
+    wants_reply: bool = False
     can_decide: bool = True
 
 
@@ -67,7 +67,7 @@
     pace_percent: int = 0
 
 
-class LoadNews(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=2):
+class LoadUpdate(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=2):
     """Loads that changed since the sender's last news.
 
     :param is_remote_zone: whether they are all the loads of another zone, summed there
@@ -87,7 +87,7 @@
     value: bytes | None
 
 
-class RegistryNews(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=3):
+class RegistryUpdate(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=3):
     """Entries that a daemon read from the store.
 
     :param start: position from which on all changes are in ``entries``
@@ -103,14 +103,14 @@
     entries: list[RegistryEntry]
 
 
-class NewsAsked(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=4):
+class ConfigurationRequest(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=4):
     """A daemon lacks the configuration that the receiver has in force."""
 
     sender: str
     address: str
 
 
-class ConfigurationNews(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=5):
+class ConfigurationPart(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=5):
     """One part of the configuration's bytes as they stand in the store, compressed.
 
     :param revision: revision that the sender has in force
@@ -125,14 +125,14 @@
     body: bytes
 
 
-class RegistryAsked(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=11):
+class RegistryRequest(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=11):
     """A daemon knows no backend server and cannot read the store."""
 
     sender: str
     address: str
 
 
-class SlotQuestion(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=6):
+class SlotRequestDatagram(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=6):
     """A call of the sender wants a slot; fields as in ``SlotRequest``."""
 
     sender: str
@@ -142,12 +142,12 @@
     route: str
     work: float
     waited: float
-    left: float
+    remaining: float
     attempt: int
     avoided: list[str]
 
 
-class SlotAnswer(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=7):
+class SlotGrantDatagram(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=7):
     """The receiver's call may go to a backend server.
 
     :param slowdown: slowdown that the backend server reported last
@@ -161,14 +161,14 @@
     report_age: float
 
 
-class SlotWait(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=8):
+class SlotQueuedDatagram(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=8):
     """The receiver's call waits at the sender."""
 
     sender: str
     call_id: int
 
 
-class SlotRefusal(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=9):
+class SlotDenialDatagram(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=9):
     """The receiver's call gets no slot.
 
     :param code: number of the result code
@@ -182,7 +182,7 @@
     retry_after: float | None
 
 
-class SlotReturn(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=10):
+class SlotWithdrawalDatagram(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=10):
     """The sender's call needs no slot any more."""
 
     sender: str
@@ -191,16 +191,16 @@
 
 Datagram = (
     Heartbeat
-    | LoadNews
-    | RegistryNews
-    | RegistryAsked
-    | NewsAsked
-    | ConfigurationNews
-    | SlotQuestion
-    | SlotAnswer
-    | SlotWait
-    | SlotRefusal
-    | SlotReturn
+    | LoadUpdate
+    | RegistryUpdate
+    | RegistryRequest
+    | ConfigurationRequest
+    | ConfigurationPart
+    | SlotRequestDatagram
+    | SlotGrantDatagram
+    | SlotQueuedDatagram
+    | SlotDenialDatagram
+    | SlotWithdrawalDatagram
 )
 
 _encoder = msgspec.msgpack.Encoder()
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/configuration_following.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/configuration_following.py
@@ -8,7 +8,7 @@
 
 import structlog
 
-from dotterelgate_border.datagrams import ConfigurationNews, Heartbeat, NewsAsked
+from dotterelgate_border.datagrams import ConfigurationPart, ConfigurationRequest, Heartbeat
 from dotterelgate_core.codes import Refusal
 from dotterelgate_core.store_control import ConfigurationStored
 from dotterelgate_core.store_reading import ConfigurationReadEnded, ConfigurationReadFailed
@@ -61,9 +61,9 @@
         """Take a peer's message."""
         if isinstance(message, Heartbeat):
             self._compare(message)
-        elif isinstance(message, NewsAsked):
+        elif isinstance(message, ConfigurationRequest):
             self._answer(message)
-        elif isinstance(message, ConfigurationNews):
+        elif isinstance(message, ConfigurationPart):
             self._take_part(message)
 
     def _end_read(self) -> None:
@@ -101,35 +101,35 @@
         if heartbeat.revision <= own or now - self._asked_at < ASK_SECONDS:
             return
         self._asked_at = now
-        question = NewsAsked(sender=self._state.name, address=self._mesh.address)
-        self._mesh.send_message(heartbeat.address, question)
+        request = ConfigurationRequest(sender=self._state.name, address=self._mesh.address)
+        self._mesh.send_message(heartbeat.address, request)
 
-    def _answer(self, question: NewsAsked) -> None:
+    def _answer(self, request: ConfigurationRequest) -> None:
         current = self._state.configuration.current
         if current is None or not self._document:
             return
         body = zlib.compress(self._document)
         parts = [body[at : at + PART_BYTES] for at in range(0, len(body), PART_BYTES)]
         for number, part in enumerate(parts):
-            news = ConfigurationNews(
+            message = ConfigurationPart(
                 sender=self._state.name,
                 revision=current.revision,
                 part=number,
                 parts=len(parts),
                 body=part,
             )
-            self._mesh.send_message(question.address, news)
+            self._mesh.send_message(request.address, message)
 
-    def _take_part(self, news: ConfigurationNews) -> None:
-        key = (news.sender, news.revision)
+    def _take_part(self, message: ConfigurationPart) -> None:
+        key = (message.sender, message.revision)
         parts = self._parts.setdefault(key, {})
-        parts[news.part] = news.body
-        if len(parts) < news.parts:
+        parts[message.part] = message.body
+        if len(parts) < message.parts:
             return
         self._parts.clear()
         try:
-            document = zlib.decompress(b"".join(parts[number] for number in range(news.parts)))
+            document = zlib.decompress(b"".join(parts[number] for number in range(message.parts)))
         except (zlib.error, KeyError) as error:
             logger.warning("store: a peer's configuration is broken", reason=repr(error))
             return
-        self._take_document(document, news.sender)
+        self._take_document(document, message.sender)
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/mesh.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/mesh.py
@@ -12,7 +12,7 @@
 from dotterelgate_border.datagrams import (
     Heartbeat,
     LoadEntry,
-    LoadNews,
+    LoadUpdate,
     decode_datagram,
     encode_datagram,
 )
@@ -147,17 +147,17 @@
 
     def _relay(self, service: str, loads: list[LoadEntry], zones: set[str], now: float) -> None:
         state = self._state
-        news = LoadNews(
+        update = LoadUpdate(
             sender=state.name, incarnation=self._incarnation, loads=loads, is_remote_zone=True
         )
-        data = encode_datagram(news)
+        data = encode_datagram(update)
         for zone in zones:
             for name in list_owners(state, service, now, zone)[:1]:
                 self.send(state.peers.listed[name].address, data)
 
     def greet(self, address: str) -> None:
         """Ask the daemon at an address for a heartbeat."""
-        message = self._build_heartbeat(counts=False, answers=True)
+        message = self._build_heartbeat(counts=False, wants_reply=True)
         self.send(address, encode_datagram(message))
 
     def send(self, address: str, data: bytes) -> None:
@@ -192,7 +192,7 @@
         bind_to(sock, address)
         return sock
 
-    def _build_heartbeat(self, *, counts: bool, answers: bool = False) -> Heartbeat:
+    def _build_heartbeat(self, *, counts: bool, wants_reply: bool = False) -> Heartbeat:
         state = self._state
         current = state.configuration.current
         servers = state.servers.states.items() if counts else ()
@@ -204,7 +204,7 @@
             is_leaving=state.peers.leaving,
             revision=current.revision if current is not None else 0,
             in_flight={name: each.in_flight for name, each in servers if each.in_flight},
-            answers=answers,
+            wants_reply=wants_reply,
             can_decide=state.can_decide,
         )
 
@@ -225,8 +225,8 @@
             for listener in select_listeners(self._state, server.service, now):
                 by_listener.setdefault(listener, []).append(entry)
         for listener, loads in by_listener.items():
-            news = LoadNews(sender=self._state.name, incarnation=self._incarnation, loads=loads)
-            self.send_message(self._state.peers.listed[listener].address, news)
+            update = LoadUpdate(sender=self._state.name, incarnation=self._incarnation, loads=loads)
+            self.send_message(self._state.peers.listed[listener].address, update)
 
     def _read(self) -> None:
         for _ in range(READS_PER_EVENT):
@@ -247,7 +247,7 @@
             return
         if message.sender == self._state.name:
             return
-        if isinstance(message, LoadNews):
+        if isinstance(message, LoadUpdate):
             self._tell(read_load_news(message, time.monotonic()))
         elif isinstance(message, Heartbeat):
             self._take_heartbeat(message)
@@ -266,7 +266,7 @@
             can_decide=message.can_decide,
         )
         self._tell(heard)
-        if message.answers:
+        if message.wants_reply:
             self.send_message(message.address, self._build_heartbeat(counts=True))
         self.take_news(message)
 
@@ -314,7 +314,7 @@
     )
 
 
-def read_load_news(message: LoadNews, now: float) -> LoadsReceived:
+def read_load_news(message: LoadUpdate, now: float) -> LoadsReceived:
     """Read a peer's news into the message of the decisions."""
     loads = tuple(_read_load(entry) for entry in message.loads)
     return LoadsReceived(
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/registry_following.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/registry_following.py
@@ -9,9 +9,9 @@
 
 from dotterelgate_border.datagrams import (
     Heartbeat,
-    RegistryAsked,
     RegistryEntry,
-    RegistryNews,
+    RegistryRequest,
+    RegistryUpdate,
 )
 from dotterelgate_core.codes import Refusal
 from dotterelgate_core.registry import RegistrationRead, RegistryListed
@@ -75,11 +75,11 @@
 
     def hear(self, message: Datagram) -> None:
         """Take a peer's message."""
-        if isinstance(message, RegistryNews):
+        if isinstance(message, RegistryUpdate):
             self._take_news(message)
         elif isinstance(message, Heartbeat):
             self._ask_peer(message)
-        elif isinstance(message, RegistryAsked):
+        elif isinstance(message, RegistryRequest):
             self._tell_all(message.address)
 
     def _ask_peer(self, heartbeat: Heartbeat) -> None:
@@ -91,8 +91,8 @@
             return
         self._asked_at = now
         logger.info("store: asking a peer for the registry", peer=heartbeat.sender)
-        question = RegistryAsked(sender=self._state.name, address=self._mesh.address)
-        self._mesh.send_message(heartbeat.address, question)
+        request = RegistryRequest(sender=self._state.name, address=self._mesh.address)
+        self._mesh.send_message(heartbeat.address, request)
 
     def _tell_all(self, address: str) -> None:
         """Send all entries known here, in as many datagrams as they need."""
@@ -111,10 +111,10 @@
             self._send_entries(address, position, batch)
 
     def _send_entries(self, address: str, position: int, entries: list[RegistryEntry]) -> None:
-        news = RegistryNews(
+        update = RegistryUpdate(
             sender=self._state.name, start=position, end=position, returned_ms=-1, entries=entries
         )
-        self._mesh.send_message(address, news)
+        self._mesh.send_message(address, update)
 
     def _note_listing(self, keys: frozenset[str], end: int) -> None:
         self._tell(RegistryListed(now=time.monotonic(), names=keys, end=end))
@@ -195,7 +195,7 @@
         if sum(_measure(each) for each in entries) > NEWS_BYTES:
             start, entries = position, []
         returned = now - self._registry.returned_at
-        news = RegistryNews(
+        update = RegistryUpdate(
             sender=self._state.name,
             start=start,
             end=position,
@@ -203,23 +203,23 @@
             entries=entries,
         )
         for address in self._mesh.list_near():
-            self._mesh.send_message(address, news)
+            self._mesh.send_message(address, update)
 
-    def _take_news(self, news: RegistryNews) -> None:
+    def _take_news(self, update: RegistryUpdate) -> None:
         records = [
             StoreRecord(key=each.name, offset=each.offset, value=each.value)
-            for each in news.entries
+            for each in update.entries
         ]
         now = time.monotonic()
-        if news.returned_ms >= 0:
-            returned_at = now - news.returned_ms / MILLISECONDS
+        if update.returned_ms >= 0:
+            returned_at = now - update.returned_ms / MILLISECONDS
         else:
             returned_at = float("-inf")
         position = self._reader.position
-        if position is not None and position >= news.start:
+        if position is not None and position >= update.start:
             self._tell(RegistryUpdateReceived(now=now, returned_at=returned_at))
-            self._reader.position = max(position, news.end)
-        self._take_records(records, news.sender)
+            self._reader.position = max(position, update.end)
+        self._take_records(records, update.sender)
 
 
 def _measure(entry: RegistryEntry) -> int:
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/slot_exchange.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/slot_exchange.py
@@ -8,11 +8,11 @@
 import structlog
 
 from dotterelgate_border.datagrams import (
-    SlotAnswer,
-    SlotQuestion,
-    SlotRefusal,
-    SlotReturn,
-    SlotWait,
+    SlotDenialDatagram,
+    SlotGrantDatagram,
+    SlotQueuedDatagram,
+    SlotRequestDatagram,
+    SlotWithdrawalDatagram,
 )
 from dotterelgate_core import slots
 from dotterelgate_core.codes import CODES_BY_NUMBER, Refusal
@@ -51,15 +51,15 @@
     def hear(self, message: Datagram) -> None:
         """Take a peer's message."""
         now = time.monotonic()
-        if isinstance(message, SlotQuestion):
-            self._tell(_read_question(message, now))
-        elif isinstance(message, SlotAnswer):
-            self._tell(_read_answer(message, now))
-        elif isinstance(message, SlotWait):
+        if isinstance(message, SlotRequestDatagram):
+            self._tell(_read_request(message, now))
+        elif isinstance(message, SlotGrantDatagram):
+            self._tell(_read_grant(message, now))
+        elif isinstance(message, SlotQueuedDatagram):
             self._tell(slots.SlotQueued(now=now, call_id=message.call_id))
-        elif isinstance(message, SlotRefusal):
-            self._take_refusal(message, now)
-        elif isinstance(message, SlotReturn):
+        elif isinstance(message, SlotDenialDatagram):
+            self._receive_denial(message, now)
+        elif isinstance(message, SlotWithdrawalDatagram):
             self._tell(slots.SlotWithdrawn(now=now, call_id=message.call_id))
 
     def _send(self, name: str, message: Datagram) -> None:
@@ -70,7 +70,7 @@
 
     def _ask(self, order: slots.RequestSlot) -> None:
         request = order.request
-        question = SlotQuestion(
+        datagram = SlotRequestDatagram(
             sender=self._state.name,
             call_id=request.call_id,
             request_id=request.request_id,
@@ -78,27 +78,29 @@
             route=request.route,
             work=request.work,
             waited=request.waited,
-            left=request.remaining,
+            remaining=request.remaining,
             attempt=request.attempt,
             avoided=list(request.avoided),
         )
-        self._send(order.owner, question)
+        self._send(order.owner, datagram)
 
     def _grant(self, order: slots.GrantSlot) -> None:
-        answer = SlotAnswer(
+        datagram = SlotGrantDatagram(
             sender=self._state.name,
             call_id=order.call_id,
             server=order.grant.server,
             slowdown=order.grant.slowdown,
             report_age=order.grant.report_age,
         )
-        self._send(order.requester, answer)
+        self._send(order.requester, datagram)
 
     def _queue(self, order: slots.QueueSlot) -> None:
-        self._send(order.requester, SlotWait(sender=self._state.name, call_id=order.call_id))
+        self._send(
+            order.requester, SlotQueuedDatagram(sender=self._state.name, call_id=order.call_id)
+        )
 
     def _deny(self, order: slots.DenySlot) -> None:
-        refusal = SlotRefusal(
+        refusal = SlotDenialDatagram(
             sender=self._state.name,
             call_id=order.call_id,
             code=order.refusal.code.number,
@@ -108,9 +110,11 @@
         self._send(order.requester, refusal)
 
     def _withdraw(self, order: slots.WithdrawSlot) -> None:
-        self._send(order.owner, SlotReturn(sender=self._state.name, call_id=order.call_id))
+        self._send(
+            order.owner, SlotWithdrawalDatagram(sender=self._state.name, call_id=order.call_id)
+        )
 
-    def _take_refusal(self, message: SlotRefusal, now: float) -> None:
+    def _receive_denial(self, message: SlotDenialDatagram, now: float) -> None:
         code = CODES_BY_NUMBER.get(message.code)
         if code is None:
             logger.warning(
@@ -123,7 +127,7 @@
         self._tell(slots.SlotDenied(now=now, call_id=message.call_id, refusal=refusal))
 
 
-def _read_question(message: SlotQuestion, now: float) -> slots.SlotRequested:
+def _read_request(message: SlotRequestDatagram, now: float) -> slots.SlotRequested:
     request = slots.SlotRequest(
         call_id=message.call_id,
         request_id=message.request_id,
@@ -131,14 +135,14 @@
         route=message.route,
         work=message.work,
         waited=message.waited,
-        remaining=message.left,
+        remaining=message.remaining,
         attempt=message.attempt,
         avoided=tuple(message.avoided),
     )
     return slots.SlotRequested(now=now, wall=time.time(), requester=message.sender, request=request)
 
 
-def _read_answer(message: SlotAnswer, now: float) -> slots.SlotGranted:
+def _read_grant(message: SlotGrantDatagram, now: float) -> slots.SlotGranted:
     grant = slots.SlotGrant(
         server=message.server, slowdown=message.slowdown, report_age=message.report_age
     )
