--- a/packages/dotterelgate-bench/src/dotterelgate_bench/backend.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/backend.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from dotterelgate_bench.serving import Asked
+    from dotterelgate_bench.serving import HttpRequest
     from dotterelgate_daemon.streams import StreamService
     from dotterelgate_daemon.timers import TimerService
 
@@ -79,93 +79,93 @@
         self._served: set[int] = set()
         self._stand_in = HttpServer(streams=self.streams, address=self.address, answer=self._answer)
 
-    def _answer(self, asked: Asked) -> None:
-        if asked.path == "/_faults":
-            for name, value in json.loads(asked.body).items():
+    def _answer(self, request: HttpRequest) -> None:
+        if request.path == "/_faults":
+            for name, value in json.loads(request.body).items():
                 setattr(self.faults, name, value)
-            answer_json(asked, self.faults.__dict__)
-        elif asked.path == "/_ledger":
+            answer_json(request, self.faults.__dict__)
+        elif request.path == "/_ledger":
             totals = {"probes": self.probes, "connections": self._stand_in.accepted}
-            answer_json(asked, {"name": self.name, "ran": self.ledger, **totals})
-        elif asked.path == "/_probe":
-            self._probe(asked)
+            answer_json(request, {"name": self.name, "ran": self.ledger, **totals})
+        elif request.path == "/_probe":
+            self._probe(request)
         else:
-            self._take(asked)
+            self._take(request)
 
-    def _probe(self, asked: Asked) -> None:
+    def _probe(self, request: HttpRequest) -> None:
         def start() -> None:
-            if self._is_too_late(asked, time.monotonic()):
-                asked.answer(503, b"", [*self._report(), NOT_RUN])
+            if self._is_too_late(request, time.monotonic()):
+                request.answer(503, b"", [*self._report(), NOT_RUN])
                 self._next()
                 return
-            seconds = PROBE_SECONDS + self._charge_connection(asked)
+            seconds = PROBE_SECONDS + self._charge_connection(request)
             self.probes.append((time.time(), seconds))
             self.timers.call_after(delay=seconds, call=finish)
 
         def finish() -> None:
-            asked.answer(200, b"", self._report())
+            request.answer(200, b"", self._report())
             self._next()
 
         self._enter(start)
 
-    def _take(self, asked: Asked) -> None:
+    def _take(self, request: HttpRequest) -> None:
         if self.faults.shed:
-            asked.answer(503, b"", [*self._report(), NOT_RUN])
+            request.answer(503, b"", [*self._report(), NOT_RUN])
             return
         is_live = [True]
 
         def leave() -> None:
             is_live[0] = False
 
-        asked.gone = leave
+        request.on_disconnect = leave
         arrived = time.monotonic()
 
         def start() -> None:
             if not is_live[0]:
                 self._next()
-            elif self._is_too_late(asked, arrived):
-                asked.answer(503, b"", [*self._report(), NOT_RUN])
+            elif self._is_too_late(request, arrived):
+                request.answer(503, b"", [*self._report(), NOT_RUN])
                 self._next()
             else:
-                self._run(asked)
+                self._run(request)
 
         self._enter(start)
 
-    def _is_too_late(self, asked: Asked, arrived: float) -> bool:
-        fence = asked.find_header(b"request-not-after")
+    def _is_too_late(self, request: HttpRequest, arrived: float) -> bool:
+        fence = request.find_header(b"request-not-after")
         if fence is not None and time.time() > float(fence):
             return True
-        timeout = asked.find_header(b"request-timeout-ms")
+        timeout = request.find_header(b"request-timeout-ms")
         return timeout is not None and time.monotonic() - arrived > int(timeout) / 1000
 
-    def _run(self, asked: Asked) -> None:
+    def _run(self, request: HttpRequest) -> None:
         self.ledger.append(
             {
-                "method": asked.head.method,
-                "path": asked.path,
-                "key": asked.find_header(b"idempotency-key"),
-                "id": asked.find_header(b"request-id"),
-                "body_bytes": len(asked.body),
+                "method": request.head.method,
+                "path": request.path,
+                "key": request.find_header(b"idempotency-key"),
+                "id": request.find_header(b"request-id"),
+                "body_bytes": len(request.body),
                 "wall": time.time(),
             }
         )
-        seconds = self._draw_seconds(asked)
+        seconds = self._draw_seconds(request)
 
         def finish() -> None:
-            self._reply(asked)
+            self._reply(request)
             self._next()
 
         self.timers.call_after(delay=seconds, call=finish)
 
-    def _draw_seconds(self, asked: Asked) -> float:
-        milliseconds = asked.query.get("ms")
+    def _draw_seconds(self, request: HttpRequest) -> float:
+        milliseconds = request.query.get("ms")
         if milliseconds is not None:
             seconds = float(milliseconds) / 1000
         else:
             seconds = self._random.expovariate(1000 / self.mean_ms)
         if time.monotonic() - self._started < self.cold_seconds:
             seconds *= 3
-        seconds += self._charge_connection(asked)
+        seconds += self._charge_connection(request)
         return seconds * self.faults.slow
 
     def _enter(self, start: Callable[[], None]) -> None:
@@ -175,10 +175,10 @@
         else:
             self.waiting.append(start)
 
-    def _charge_connection(self, asked: Asked) -> float:
-        if id(asked.connection) in self._served:
+    def _charge_connection(self, request: HttpRequest) -> float:
+        if id(request.connection) in self._served:
             return 0.0
-        self._served.add(id(asked.connection))
+        self._served.add(id(request.connection))
         return CONNECTION_SECONDS
 
     def _next(self) -> None:
@@ -193,27 +193,27 @@
             headers.append((b"server-state", b"draining"))
         return headers
 
-    def _reply(self, asked: Asked) -> None:
-        size = int(asked.query.get("bytes", "0"))
-        body = self._build_body(asked, size)
-        if self._misbehave(asked, body):
+    def _reply(self, request: HttpRequest) -> None:
+        size = int(request.query.get("bytes", "0"))
+        body = self._build_body(request, size)
+        if self._misbehave(request, body):
             return
-        asked.answer(200, body, [*self._report(), (b"content-type", b"application/json")])
+        request.answer(200, body, [*self._report(), (b"content-type", b"application/json")])
 
-    def _build_body(self, asked: Asked, size: int) -> bytes:
+    def _build_body(self, request: HttpRequest, size: int) -> bytes:
         document = {
             "server": self.name,
-            "id": asked.find_header(b"request-id"),
-            "path": asked.path,
+            "id": request.find_header(b"request-id"),
+            "path": request.path,
             "run": len(self.ledger),
-            "body_bytes": len(asked.body),
+            "body_bytes": len(request.body),
         }
         body = json.dumps(document).encode("utf-8")
         return body + b"." * max(0, size - len(body))
 
-    def _misbehave(self, asked: Asked, body: bytes) -> bool:
+    def _misbehave(self, request: HttpRequest, body: bytes) -> bool:
         faults = self.faults
-        connection = asked.connection
+        connection = request.connection
         head = encode_answer_head(200, [(b"content-length", b"%d" % len(body))])
         if faults.cut_body > 0:
             faults.cut_body -= 1
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/platform.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/platform.py
@@ -11,7 +11,7 @@
 from dotterelgate_bench.serving import HttpServer, answer_json
 
 if TYPE_CHECKING:
-    from dotterelgate_bench.serving import Asked
+    from dotterelgate_bench.serving import HttpRequest
     from dotterelgate_daemon.streams import StreamService
     from dotterelgate_daemon.timers import TimerService
 
@@ -47,43 +47,43 @@
         self._appends = 0
         HttpServer(streams=streams, address=address, answer=self._answer)
 
-    def _answer(self, asked: Asked) -> None:
-        if asked.path == "/faults":
-            if asked.head.method == "POST":
-                for name, value in json.loads(asked.body).items():
+    def _answer(self, request: HttpRequest) -> None:
+        if request.path == "/faults":
+            if request.head.method == "POST":
+                for name, value in json.loads(request.body).items():
                     setattr(self.faults, name, value)
-            answer_json(asked, {**self.faults.__dict__, "appends": self._appends})
+            answer_json(request, {**self.faults.__dict__, "appends": self._appends})
         elif self.faults.down:
-            answer_json(asked, {"error": "the log is down"}, status=503)
+            answer_json(request, {"error": "the log is down"}, status=503)
         elif self.faults.delay:
             self._timers.call_after(
-                delay=self.faults.delay, call=lambda: self._answer_records(asked)
+                delay=self.faults.delay, call=lambda: self._answer_records(request)
             )
         else:
-            self._answer_records(asked)
+            self._answer_records(request)
 
-    def _answer_records(self, asked: Asked) -> None:
-        if asked.head.method == "POST":
-            self._append(asked)
+    def _answer_records(self, request: HttpRequest) -> None:
+        if request.head.method == "POST":
+            self._append(request)
             return
-        start = int(asked.query.get("from", "0"))
-        limit = int(asked.query.get("limit", "500"))
-        answer_json(asked, self._read(start, limit))
+        start = int(request.query.get("from", "0"))
+        limit = int(request.query.get("limit", "500"))
+        answer_json(request, self._read(start, limit))
 
-    def _append(self, asked: Asked) -> None:
+    def _append(self, request: HttpRequest) -> None:
         if self.faults.lose_appends > 0:
             self.faults.lose_appends -= 1
-            answer_json(asked, {"error": "not appended"}, status=503)
+            answer_json(request, {"error": "not appended"}, status=503)
             return
         offset = self._next
         self._next += 1
         self._appends += 1
-        self._records.append((offset, time.monotonic(), json.loads(asked.body)))
+        self._records.append((offset, time.monotonic(), json.loads(request.body)))
         if self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
-            answer_json(asked, {"error": "the answer is lost"}, status=504)
+            answer_json(request, {"error": "the answer is lost"}, status=504)
             return
-        answer_json(asked, {"offset": offset})
+        answer_json(request, {"offset": offset})
 
     def _read(self, start: int, limit: int) -> dict:
         expired = time.monotonic() - self.faults.retention
@@ -115,19 +115,19 @@
     def __post_init__(self) -> None:
         HttpServer(streams=self.streams, address=self.address, answer=self._answer)
 
-    def _answer(self, asked: Asked) -> None:
-        if asked.path == "/faults":
-            faults = json.loads(asked.body)
+    def _answer(self, request: HttpRequest) -> None:
+        if request.path == "/faults":
+            faults = json.loads(request.body)
             self.lag = faults.get("lag", self.lag)
             self.down = faults.get("down", self.down)
-            answer_json(asked, {})
-        elif asked.head.method == "POST":
-            self.versions.append((time.monotonic(), json.loads(asked.body)["vms"]))
-            answer_json(asked, {})
+            answer_json(request, {})
+        elif request.head.method == "POST":
+            self.versions.append((time.monotonic(), json.loads(request.body)["vms"]))
+            answer_json(request, {})
         elif self.down:
-            answer_json(asked, {"error": "the list is down"}, status=503)
+            answer_json(request, {"error": "the list is down"}, status=503)
         else:
-            answer_json(asked, {"vms": self._find_version()})
+            answer_json(request, {"vms": self._find_version()})
 
     def _find_version(self) -> list[dict]:
         seen = [vms for at, vms in self.versions if at <= time.monotonic() - self.lag]
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/serving.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/serving.py
@@ -4,12 +4,12 @@
 
 from circuits import Component
 
-from dotterelgate_daemon.http_server import Asked, HttpServer, answer_json
+from dotterelgate_daemon.http_server import HttpRequest, HttpServer, answer_json
 from dotterelgate_daemon.polling import DirectPoller
 from dotterelgate_daemon.streams import StreamService
 from dotterelgate_daemon.timers import TimerService
 
-__all__ = ["Asked", "HttpServer", "answer_json", "build_loop"]
+__all__ = ["HttpRequest", "HttpServer", "answer_json", "build_loop"]
 
 
 def build_loop() -> tuple[Component, StreamService, TimerService]:
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/assembly.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/assembly.py
@@ -17,7 +17,7 @@
 from dotterelgate_core.peers import PeerTable
 from dotterelgate_core.probing import MEASURING_RESOURCES
 from dotterelgate_core.state import DaemonState, Limits, LogPosition
-from dotterelgate_daemon.common_parts import lay_foundation
+from dotterelgate_daemon.common_parts import build_common_parts
 from dotterelgate_daemon.dialect import DIALECT
 from dotterelgate_daemon.endpoint import Endpoint, serve_endpoint
 from dotterelgate_daemon.explanation import describe_daemon, explain_route
@@ -36,7 +36,7 @@
 
     from dotterelgate_border.handover import PeerMessage
     from dotterelgate_border.settings import DaemonSettings
-    from dotterelgate_daemon.common_parts import Foundation
+    from dotterelgate_daemon.common_parts import CommonParts
     from dotterelgate_daemon.log_output import LineBuffer
 
 __all__ = ["build_daemon"]
@@ -54,7 +54,7 @@
     """The parts that the stop and the status need."""
 
     settings: DaemonSettings
-    base: Foundation
+    base: CommonParts
     position: LogPosition
     incarnation: str
     links: LinkService
@@ -142,7 +142,7 @@
     incarnation = uuid.uuid4().hex[:12]
     state = _build_state(settings, incarnation)
     position = LogPosition(confirm_interval=CONFIRM_INTERVAL_SECONDS)
-    base = lay_foundation(
+    base = build_common_parts(
         settings=settings,
         state=state,
         dialect=DIALECT,
@@ -187,7 +187,7 @@
         tell=follower.run,
     )
     follower.probe = prober.probe
-    gateway.tell_leaving = follower.tell_leaving
+    gateway.announce_leaving = follower.announce_leaving
     follower.send_offer = handing.send_offer
     follower.send_keys = handing.send_keys
     hearers.extend((peering.hear, follower.hear, handing.hear))
@@ -215,7 +215,7 @@
 
 def _build_platform(
     settings: DaemonSettings,
-    base: Foundation,
+    base: CommonParts,
     follower: Follower,
 ) -> tuple[LogClient, VmListClient]:
     def make_client(address: str, channel: str) -> PlatformClient:
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/callers.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/callers.py
@@ -29,7 +29,7 @@
     from dotterelgate_core.codes import ResultCode
     from dotterelgate_daemon.codec import HeaderList, RequestHead
     from dotterelgate_daemon.gateway import Gateway
-    from dotterelgate_daemon.replies import AnswerStart, KeptAnswer
+    from dotterelgate_daemon.replies import AnswerStart, StoredAnswer
     from dotterelgate_daemon.streams import StreamService
     from dotterelgate_daemon.timers import PauseWatch
 
@@ -162,7 +162,7 @@
         current, self._current = self._current, None
         self._waiting.clear()
         if current is not None and current.pending is not None:
-            self._gate.gateway.leave(current.pending.call.id)
+            self._gate.gateway.note_disconnect(current.pending.call.id)
 
     def _begin(self, head: RequestHead) -> None:
         self._arriving = _Incoming(head=head, unread_wait=self._unread_wait)
@@ -192,7 +192,7 @@
         self._refusal = Refusal(code, reason)
         arriving = self._arriving
         if arriving is not None and arriving.pending is not None:
-            self._gate.gateway.leave(arriving.pending.call.id)
+            self._gate.gateway.note_disconnect(arriving.pending.call.id)
             self._stream.close()
             self._gate.connections.discard(self)
             return
@@ -247,7 +247,7 @@
             return terms
         host = (find_header(head.headers, b"host") or b"").decode("latin-1")
         return Call(
-            id=self._gate.gateway.take_id(),
+            id=self._gate.gateway.allocate_id(),
             method=head.method,
             host=host.rsplit(":", 1)[0].lower(),
             path=unquote(head.target.partition("?")[0]),
@@ -284,7 +284,7 @@
             return False
         return self._current.head.keep_alive
 
-    def _send_whole(self, answer: KeptAnswer) -> None:
+    def _send_whole(self, answer: StoredAnswer) -> None:
         length = len(answer.body) if answer.body or answer.length is None else answer.length
         headers = self._list_answer_headers(answer.headers, answer.server)
         if answer.status != 204:
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/common_parts.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/common_parts.py
@@ -26,7 +26,7 @@
     from dotterelgate_daemon.dialect import Dialect
     from dotterelgate_daemon.log_output import LineBuffer
 
-__all__ = ["Foundation", "lay_foundation"]
+__all__ = ["CommonParts", "build_common_parts"]
 
 CALL_ID_BITS = 40
 TICK_SECONDS = 0.02
@@ -37,7 +37,7 @@
 
 
 @dataclass(kw_only=True)
-class Foundation:
+class CommonParts:
     """Callers, backend servers, timers, metrics and log of one daemon."""
 
     state: DaemonState
@@ -51,14 +51,14 @@
     write_decision: Callable[[Decision, str], None]
 
 
-def lay_foundation(
+def build_common_parts(
     *,
     settings: FrontSettings,
     state: DaemonState,
     dialect: Dialect,
     decide: Filter,
     lines: LineBuffer | None,
-) -> Foundation:
+) -> CommonParts:
     """Build the parts; nothing listens yet.
 
     :param decide: the request pipeline
@@ -99,15 +99,15 @@
         lines.count_dropped = metrics.log_lines_dropped.inc
         timers.subscribe(interval=LOG_SECONDS, call=lines.write_out)
 
-    def keep_house() -> None:
+    def close_idle_connections() -> None:
         now = time.monotonic()
         pools.close_idle(older_than=now - settings.connection_idle)
         current = state.configuration.current
         if current is not None and current.limits is not None:
             gate.close_idle(older_than=now - current.limits.idle_seconds)
 
-    timers.subscribe(interval=HOUSEKEEPING_SECONDS, call=keep_house)
-    return Foundation(
+    timers.subscribe(interval=HOUSEKEEPING_SECONDS, call=close_idle_connections)
+    return CommonParts(
         state=state,
         poller=poller,
         timers=timers,
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/dialect.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/dialect.py
@@ -58,13 +58,13 @@
 class DispatchTerms:
     """What the system tells a backend server along with a request.
 
-    :param left: seconds until the answer is given up
+    :param remaining: seconds until the answer is given up
     :param fence: wall-clock second after which it must not start, if any
     :param attempt: 1 for the first dispatch
     """
 
     server: BackendServer
-    left: float
+    remaining: float
     fence: float | None
     attempt: int
 
@@ -116,7 +116,7 @@
 
 
 def _write_dispatch(terms: DispatchTerms) -> HeaderList:
-    headers = [(b"request-timeout-ms", b"%d" % (terms.left * MILLISECONDS))]
+    headers = [(b"request-timeout-ms", b"%d" % (terms.remaining * MILLISECONDS))]
     if terms.fence is not None:
         headers.append((b"request-not-after", b"%.3f" % terms.fence))
     if terms.attempt > 1:
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/endpoint.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/endpoint.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from dotterelgate_daemon.http_server import Asked
+    from dotterelgate_daemon.http_server import HttpRequest
     from dotterelgate_daemon.streams import StreamService
 
 __all__ = ["Endpoint", "serve_endpoint"]
@@ -38,36 +38,36 @@
 
     :raises OSError: when the address cannot be bound
     """
-    pages: dict[str, Callable[[Asked], None]] = {
-        "/health": lambda asked: _answer_health(asked, endpoint),
-        "/metrics": lambda asked: _answer_metrics(asked, endpoint),
-        "/status": lambda asked: answer_json(asked, endpoint.describe()),
-        "/explain": lambda asked: _answer_explanation(asked, endpoint),
+    pages: dict[str, Callable[[HttpRequest], None]] = {
+        "/health": lambda request: _answer_health(request, endpoint),
+        "/metrics": lambda request: _answer_metrics(request, endpoint),
+        "/status": lambda request: answer_json(request, endpoint.describe()),
+        "/explain": lambda request: _answer_explanation(request, endpoint),
     }
 
-    def answer(asked: Asked) -> None:
-        pages.get(asked.path, _answer_unknown)(asked)
+    def answer(request: HttpRequest) -> None:
+        pages.get(request.path, _answer_unknown)(request)
 
     HttpServer(streams=streams, address=address, answer=answer)
 
 
-def _answer_health(asked: Asked, endpoint: Endpoint) -> None:
+def _answer_health(request: HttpRequest, endpoint: Endpoint) -> None:
     if endpoint.is_healthy():
-        asked.answer(HTTPStatus.OK, b"serving\n")
+        request.answer(HTTPStatus.OK, b"serving\n")
     else:
-        asked.answer(HTTPStatus.SERVICE_UNAVAILABLE, b"stopping or without configuration\n")
+        request.answer(HTTPStatus.SERVICE_UNAVAILABLE, b"stopping or without configuration\n")
 
 
-def _answer_metrics(asked: Asked, endpoint: Endpoint) -> None:
+def _answer_metrics(request: HttpRequest, endpoint: Endpoint) -> None:
     headers = [(b"content-type", b"text/plain; version=0.0.4")]
-    asked.answer(HTTPStatus.OK, endpoint.render_metrics(), headers)
+    request.answer(HTTPStatus.OK, endpoint.render_metrics(), headers)
 
 
-def _answer_explanation(asked: Asked, endpoint: Endpoint) -> None:
-    query = asked.query
+def _answer_explanation(request: HttpRequest, endpoint: Endpoint) -> None:
+    query = request.query
     method, host = query.get("method", "GET"), query.get("host", "")
-    answer_json(asked, endpoint.explain(method, host, query.get("path", "/")))
+    answer_json(request, endpoint.explain(method, host, query.get("path", "/")))
 
 
-def _answer_unknown(asked: Asked) -> None:
-    asked.answer(HTTPStatus.NOT_FOUND, b"no such page\n")
+def _answer_unknown(request: HttpRequest) -> None:
+    request.answer(HTTPStatus.NOT_FOUND, b"no such page\n")
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/following.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/following.py
@@ -83,7 +83,7 @@
             control.AppendClaims: self._append_claims,
             control.AppendConfirmation: self._append_confirmation,
             control.SendOffer: lambda order: self.send_offer(order),
-            control.AnnounceLeaving: self.tell_leaving,
+            control.AnnounceLeaving: self.announce_leaving,
             control.Probe: lambda order: self.probe(order),
             control.SendKeys: lambda order: self.send_keys(order),
             control.ConfigurationChanged: self._change_configuration,
@@ -176,7 +176,7 @@
         wall = time.time()
         self.run(control.ControlTicked(now=time.monotonic(), wall=wall))
 
-    def tell_leaving(self, seen: control.AnnounceLeaving) -> None:
+    def announce_leaving(self, seen: control.AnnounceLeaving) -> None:
         """Share a sign that a backend server is leaving, by peers and by the log."""
         heard = control.LeavingReceived(
             now=time.monotonic(),
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/gateway.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/gateway.py
@@ -17,7 +17,7 @@
 )
 from dotterelgate_daemon.dialect import DispatchTerms
 from dotterelgate_daemon.exchanges import Exchange
-from dotterelgate_daemon.replies import SILENT_REPLY, AnswerStart, KeptAnswer
+from dotterelgate_daemon.replies import SILENT_REPLY, AnswerStart, StoredAnswer
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -64,7 +64,7 @@
     relay_started: bool = False
     peer: str | None = None
     next_part: int = 0
-    whole: KeptAnswer | None = None
+    complete_answer: StoredAnswer | None = None
     service: str = ""
     resume_caller: Callable[[], None] | None = None
 
@@ -100,9 +100,9 @@
             None
         )
         self.withdraw: Callable[[int, str], None] = lambda call_id, peer: None
-        self.tell_leaving: Callable[[AnnounceLeaving], None] = lambda order: None
+        self.announce_leaving: Callable[[AnnounceLeaving], None] = lambda order: None
         self.dialect = dialect
-        self.ran: Callable[[], None] = lambda: None
+        self.after_run: Callable[[], None] = lambda: None
         self._decide = decide
         self._pools = pools
         self._metrics = metrics
@@ -121,14 +121,14 @@
             messages.RefuseCall: self._refuse,
             messages.ReleaseCall: self._forget,
             messages.Decision: self._write_decision,
-            AnnounceLeaving: lambda order: self.tell_leaving(order),
+            AnnounceLeaving: lambda order: self.announce_leaving(order),
         }
 
     def add_sinks(self, sinks: dict[type, Callable[[Message], None]]) -> None:
         """Let other parts carry out further kinds of orders."""
         self._sinks.update(sinks)
 
-    def take_id(self) -> int:
+    def allocate_id(self) -> int:
         """Take the next call id; ids of earlier runs never come again."""
         self._next_id += 1
         return self._next_id
@@ -139,7 +139,7 @@
         wall = time.time()
         self.run(messages.CallArrived(now=time.monotonic(), wall=wall, call=pending.call))
 
-    def leave(self, call_id: int) -> None:
+    def note_disconnect(self, call_id: int) -> None:
         """Note that nobody waits for the answer any more."""
         pending = self.pending.get(call_id)
         if pending is None:
@@ -157,7 +157,7 @@
             sink = self._sinks.get(type(order))
             if sink is not None:
                 sink(order)
-        self.ran()
+        self.after_run()
 
     def tick(self) -> None:
         """Let time limits pass."""
@@ -219,7 +219,7 @@
         attempt = max(2, order.attempt) if pending.call.retried else order.attempt
         terms = DispatchTerms(
             server=order.server,
-            left=max(0.0, order.deadline - time.monotonic()),
+            remaining=max(0.0, order.deadline - time.monotonic()),
             fence=order.fence,
             attempt=attempt,
         )
@@ -280,7 +280,7 @@
         assert pending.start is not None and pending.terms is not None
         pending.exchange = None
         if not pending.relay_started:
-            pending.whole = _keep(pending.start, pending.answer)
+            pending.complete_answer = _keep(pending.start, pending.answer)
         message = messages.ServerAnswered(
             now=time.monotonic(),
             wall=time.time(),
@@ -289,7 +289,7 @@
             status=pending.status,
             ran=not pending.terms.not_run,
             report=pending.terms.report,
-            stored_answer=self._remember(pending.whole),
+            stored_answer=self._remember(pending.complete_answer),
         )
         self.run(message)
 
@@ -305,19 +305,21 @@
         )
         self.run(message)
 
-    def take_whole(self, pending: PendingCall, peer: str, whole: KeptAnswer | None) -> None:
+    def finish_peer_answer(
+        self, pending: PendingCall, peer: str, complete_answer: StoredAnswer | None
+    ) -> None:
         """Take the end of an answer that a peer handed back."""
         pending.peer = None
-        pending.whole = whole
+        pending.complete_answer = complete_answer
         message = messages.PeerAnswered(
             now=time.monotonic(),
             call_id=pending.call.id,
             peer=peer,
-            stored_answer=self._remember(whole),
+            stored_answer=self._remember(complete_answer),
         )
         self.run(message)
 
-    def take_refusal(self, pending: PendingCall, peer: str, refusal: Refusal) -> None:
+    def finish_peer_refusal(self, pending: PendingCall, peer: str, refusal: Refusal) -> None:
         """Take a peer's own answer to a call that was handed to it."""
         pending.peer = None
         message = messages.PeerAnswered(
@@ -365,8 +367,8 @@
         if pending.relay_started:
             pending.reply.end()
         else:
-            assert pending.whole is not None
-            pending.reply.send_whole(pending.whole)
+            assert pending.complete_answer is not None
+            pending.reply.send_whole(pending.complete_answer)
         self._write_end(pending, f"answered by {order.source}", status=pending.status)
         self._count(pending, codes.OK.name)
 
@@ -374,7 +376,7 @@
         pending = self.pending.pop(order.call_id, None)
         if pending is None:
             return
-        assert isinstance(order.stored_answer, KeptAnswer)
+        assert isinstance(order.stored_answer, StoredAnswer)
         pending.reply.send_whole(order.stored_answer)
         self._count(pending, codes.OK.name)
 
@@ -424,21 +426,21 @@
         pending.start = None
         pending.answer.clear()
         pending.terms = None
-        pending.whole = None
+        pending.complete_answer = None
         pending.next_part = 0
 
-    def _remember(self, whole: KeptAnswer | None) -> KeptAnswer | None:
-        if whole is None or len(whole.body) > self._remember_limit:
+    def _remember(self, complete_answer: StoredAnswer | None) -> StoredAnswer | None:
+        if complete_answer is None or len(complete_answer.body) > self._remember_limit:
             return None
-        return whole
+        return complete_answer
 
 
 def _is_not_run(pending: PendingCall) -> bool:
     return pending.terms is not None and pending.terms.not_run
 
 
-def _keep(start: AnswerStart, body: bytearray) -> KeptAnswer:
-    return KeptAnswer(
+def _keep(start: AnswerStart, body: bytearray) -> StoredAnswer:
+    return StoredAnswer(
         status=start.status,
         headers=start.headers,
         body=bytes(body),
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/http_server.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/http_server.py
@@ -17,23 +17,23 @@
     from dotterelgate_daemon.codec import HeaderList, RequestHead
     from dotterelgate_daemon.streams import Stream, StreamService
 
-__all__ = ["Asked", "HttpServer", "answer_json"]
+__all__ = ["HttpRequest", "HttpServer", "answer_json"]
 
 HEAD_LIMIT_BYTES = 65_536
 
 
 @dataclass(kw_only=True)
-class Asked:
+class HttpRequest:
     """One request.
 
     :param connection: the connection it came on
-    :param gone: called when the connection ends before the answer
+    :param on_disconnect: called when the connection ends before the answer
     """
 
     head: RequestHead
     connection: _Connection
     body: bytearray = field(default_factory=bytearray)
-    gone: Callable[[], None] | None = None
+    on_disconnect: Callable[[], None] | None = None
 
     @property
     def path(self) -> str:
@@ -63,7 +63,7 @@
 class _Connection:
     def __init__(self, *, server: HttpServer, sock: socket.socket) -> None:
         self._server = server
-        self._asked: list[Asked] = []
+        self._requests: list[HttpRequest] = []
         self.is_new = True
         self.stream: Stream = server.streams.adopt(
             sock=sock, receive=self._receive, lost=self._lose
@@ -71,7 +71,7 @@
         self._reader = RequestReader(
             head_limit=HEAD_LIMIT_BYTES,
             begin=self._begin,
-            body=lambda part: self._asked[-1].body.extend(part),
+            body=lambda part: self._requests[-1].body.extend(part),
             end=self._end,
             refuse=self._refuse,
         )
@@ -87,26 +87,26 @@
 
     def finish(self) -> None:
         """Take the answered request off and answer the next."""
-        if self._asked:
-            self._asked.pop(0)
+        if self._requests:
+            self._requests.pop(0)
 
     def _receive(self, data: bytes) -> None:
         self._reader.feed(data)
 
     def _begin(self, head: RequestHead) -> None:
-        self._asked.append(Asked(head=head, connection=self))
+        self._requests.append(HttpRequest(head=head, connection=self))
 
     def _end(self) -> None:
-        self._server.answer(self._asked[-1])
+        self._server.answer(self._requests[-1])
 
     def _refuse(self, _code: ResultCode, _reason: str) -> None:
         self.close()
 
     def _lose(self) -> None:
         self._server.connections.discard(self)
-        for asked in self._asked:
-            if asked.gone is not None:
-                asked.gone()
+        for request in self._requests:
+            if request.on_disconnect is not None:
+                request.on_disconnect()
 
 
 class HttpServer:
@@ -116,7 +116,7 @@
     """
 
     def __init__(
-        self, *, streams: StreamService, address: str, answer: Callable[[Asked], None]
+        self, *, streams: StreamService, address: str, answer: Callable[[HttpRequest], None]
     ) -> None:
         self.streams = streams
         self.answer = answer
@@ -129,7 +129,7 @@
         self.connections.add(_Connection(server=self, sock=sock))
 
 
-def answer_json(asked: Asked, document: object, status: int = 200) -> None:
+def answer_json(request: HttpRequest, document: object, status: int = 200) -> None:
     """Answer with a JSON document."""
     body = json.dumps(document).encode("utf-8")
-    asked.answer(status, body, [(b"content-type", b"application/json")])
+    request.answer(status, body, [(b"content-type", b"application/json")])
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/key_transfer.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/key_transfer.py
@@ -20,7 +20,7 @@
 from dotterelgate_core.codes import Refusal
 from dotterelgate_core.keys import KeyEntry, KeyRange, KeyState
 from dotterelgate_core.leases import Moment
-from dotterelgate_daemon.replies import KeptAnswer
+from dotterelgate_daemon.replies import StoredAnswer
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -38,7 +38,7 @@
 NO_CALL = 0
 
 _encoder = msgspec.msgpack.Encoder()
-_answer_decoder = msgspec.msgpack.Decoder(KeptAnswer)
+_answer_decoder = msgspec.msgpack.Decoder(StoredAnswer)
 
 
 class KeyHanding:
@@ -161,7 +161,7 @@
 def _encode_entry(digest: int, entry: KeyEntry, now: float) -> HandedKey:
     stored_answer = (
         _encoder.encode(entry.stored_answer)
-        if isinstance(entry.stored_answer, KeptAnswer)
+        if isinstance(entry.stored_answer, StoredAnswer)
         else None
     )
     return HandedKey(
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/peering.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/peering.py
@@ -12,7 +12,7 @@
 from dotterelgate_core.messages import Call, Purpose
 from dotterelgate_daemon.codec import find_header
 from dotterelgate_daemon.gateway import PendingCall
-from dotterelgate_daemon.replies import AnswerStart, KeptAnswer, Reply
+from dotterelgate_daemon.replies import AnswerStart, Reply, StoredAnswer
 
 if TYPE_CHECKING:
     from dotterelgate_border.handover import PeerMessage
@@ -152,7 +152,7 @@
         late = time.time() > message.expires + self._clock_error
         if message.target != self._name or late:
             return
-        call_id = self._gateway.take_id()
+        call_id = self._gateway.allocate_id()
         host = (find_header(message.headers, b"host") or b"").decode("latin-1")
         call = Call(
             id=call_id,
@@ -198,7 +198,7 @@
                 self._taken.pop((handed.sender, handed.call_id), None)
             self._links.send(handed.sender, message, call_id=handed.call_id)
 
-        def send_whole(answer: KeptAnswer) -> None:
+        def send_whole(answer: StoredAnswer) -> None:
             send(
                 last=True,
                 status=answer.status,
@@ -248,9 +248,9 @@
         if message.last:
             self._end_waiting(message)
         if message.code:
-            self._gateway.take_refusal(pending, message.sender, _read_refusal(message))
+            self._gateway.finish_peer_refusal(pending, message.sender, _read_refusal(message))
         elif message.part == 0 and message.last:
-            self._gateway.take_whole(pending, message.sender, _read_whole(message))
+            self._gateway.finish_peer_answer(pending, message.sender, _read_whole(message))
         else:
             self._pass_on(pending, message)
 
@@ -262,7 +262,7 @@
         if message.body:
             pending.reply.part(message.body)
         if message.last:
-            self._gateway.take_whole(pending, message.sender, None)
+            self._gateway.finish_peer_answer(pending, message.sender, None)
 
     def _end_waiting(self, message: AnswerPart) -> None:
         peer = self._peers.listed.get(message.sender)
@@ -272,7 +272,7 @@
     def _take_withdrawal(self, message: Withdrawal) -> None:
         call_id = self._taken.pop((message.sender, message.call_id), None)
         if call_id is not None:
-            self._gateway.leave(call_id)
+            self._gateway.note_disconnect(call_id)
 
 
 def _read_refusal(message: AnswerPart) -> Refusal:
@@ -281,8 +281,8 @@
     return Refusal(code, message.reason, narrowed)
 
 
-def _read_whole(message: AnswerPart) -> KeptAnswer:
-    return KeptAnswer(
+def _read_whole(message: AnswerPart) -> StoredAnswer:
+    return StoredAnswer(
         status=message.status,
         headers=message.headers,
         body=message.body,
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/replies.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/replies.py
@@ -13,11 +13,11 @@
 
     from dotterelgate_core.codes import Refusal
 
-__all__ = ["SILENT_REPLY", "AnswerStart", "KeptAnswer", "Reply"]
+__all__ = ["SILENT_REPLY", "AnswerStart", "Reply", "StoredAnswer"]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class KeptAnswer:
+class StoredAnswer:
     """A whole answer that fits in memory.
 
     :param server: backend server that gave it
@@ -57,7 +57,7 @@
     :param is_full: whether parts should wait
     """
 
-    send_whole: Callable[[KeptAnswer], None]
+    send_whole: Callable[[StoredAnswer], None]
     begin: Callable[[AnswerStart], None]
     part: Callable[[bytes], None]
     end: Callable[[], None]
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/store_assembly.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/store_assembly.py
@@ -21,7 +21,7 @@
 from dotterelgate_core.state import DaemonState, Limits
 from dotterelgate_core.store_control import make_store_pipeline
 from dotterelgate_core.store_reading import ReadConfiguration, ReadingState, ReadRegistry
-from dotterelgate_daemon.common_parts import lay_foundation
+from dotterelgate_daemon.common_parts import build_common_parts
 from dotterelgate_daemon.configuration_following import ConfigurationFollower
 from dotterelgate_daemon.directory import DaemonDirectory
 from dotterelgate_daemon.endpoint import Endpoint, serve_endpoint
@@ -41,7 +41,7 @@
     from dotterelgate_border.datagrams import Datagram
     from dotterelgate_border.settings import StoreDaemonSettings
     from dotterelgate_core.pipes import Filter, Message
-    from dotterelgate_daemon.common_parts import Foundation
+    from dotterelgate_daemon.common_parts import CommonParts
     from dotterelgate_daemon.dialect import Dialect
     from dotterelgate_daemon.log_output import LineBuffer
     from dotterelgate_daemon.store import StoreCalls
@@ -76,7 +76,7 @@
     """
     incarnation = uuid.uuid4().hex[:12]
     state = _build_state(settings)
-    base = lay_foundation(
+    base = build_common_parts(
         settings=settings,
         state=state,
         dialect=dialect,
@@ -105,7 +105,7 @@
     return daemon
 
 
-def _serve_when_ready(base: Foundation) -> None:
+def _serve_when_ready(base: CommonParts) -> None:
     """Take requests once they can be served; tell callers the truth if that takes long."""
     latest = time.monotonic() + FIRST_READ_SECONDS
 
@@ -132,7 +132,7 @@
     )
 
 
-def _build_endpoint(base: Foundation, incarnation: str) -> Endpoint:
+def _build_endpoint(base: CommonParts, incarnation: str) -> Endpoint:
     return Endpoint(
         is_healthy=lambda: _is_ready(base.state),
         render_metrics=base.metrics.render,
@@ -156,7 +156,7 @@
         self,
         *,
         decide: Filter,
-        base: Foundation,
+        base: CommonParts,
         prober: Prober,
         free: Callable[[SlotFreed], None],
     ) -> None:
@@ -203,7 +203,7 @@
     settings: StoreDaemonSettings,
     calls: StoreCalls,
     dialect: Dialect,
-    base: Foundation,
+    base: CommonParts,
     incarnation: str,
 ) -> StoreControl:
     state = base.state
@@ -253,5 +253,5 @@
         control.registry.hear(message)
 
     mesh.take_news = take_news
-    base.gateway.ran = mesh.note_changes
+    base.gateway.after_run = mesh.note_changes
     return control
