--- a/features/subjects/zone.py
+++ b/features/subjects/zone.py
@@ -23,7 +23,7 @@
     SlotWithdrawn,
     WithdrawSlot,
 )
-from dotterelgate_daemon.mesh import build_load_entry, read_load_news
+from dotterelgate_daemon.mesh import build_load_entry, read_load_update
 from subjects.front import Front
 from subjects.noisy import CROWDED_FACTOR, NOISE_SHARE, Noisy
 
@@ -188,7 +188,7 @@
         for name in select_listeners(front.state, "s", self.now):
             other = self._find(name)
             if other is not None and not self._is_lost():
-                self._take(other, other.tell(read_load_news(update, self.now)))
+                self._take(other, other.tell(read_load_update(update, self.now)))
 
     def _is_lost(self) -> bool:
         return self.loss > 0.0 and self._random.random() < self.loss
--- a/features/subjects/zone_schedules.py
+++ b/features/subjects/zone_schedules.py
@@ -12,7 +12,7 @@
 from dotterelgate_core.loads import LoadReport
 from dotterelgate_core.owners import select_listeners
 from dotterelgate_core.slots import DenySlot, GrantSlot, QueueSlot, RequestSlot, WithdrawSlot
-from dotterelgate_daemon.mesh import build_load_entry, read_load_news
+from dotterelgate_daemon.mesh import build_load_entry, read_load_update
 from subjects.front import RETRY_BURST, RETRY_SHARE, Front
 from subjects.zone import IDS_APART, address_order
 
@@ -154,7 +154,7 @@
         loads = [build_load_entry(table.states[each], self.now) for each in names]
         update = LoadUpdate(sender=name, incarnation="a", loads=loads)
         for listener in select_listeners(front.state, "s", self.now):
-            self._send(listener, lambda to: to.tell(read_load_news(update, self.now)))
+            self._send(listener, lambda to: to.tell(read_load_update(update, self.now)))
 
     def _pick_front(self):
         names = sorted(set(self._fronts) - set(self._paused))
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/assembly.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/assembly.py
@@ -22,7 +22,7 @@
 from dotterelgate_daemon.endpoint import Endpoint, serve_endpoint
 from dotterelgate_daemon.explanation import describe_daemon, explain_route
 from dotterelgate_daemon.following import Follower
-from dotterelgate_daemon.key_transfer import KeyHanding
+from dotterelgate_daemon.key_transfer import KeyTransfer
 from dotterelgate_daemon.links import LinkService
 from dotterelgate_daemon.log_service import LogClient, VmListClient
 from dotterelgate_daemon.peering import Peering
@@ -85,7 +85,7 @@
         gate=base.gate,
         gateway=base.gateway,
         timers=base.timers,
-        tell_stopping=parts.follower.tell_stopping,
+        announce_stopping=parts.follower.announce_stopping,
         finish=daemon.stop,
         count_held=lambda: _count_held(base.state),
         retire=lambda: _retire(base.state),
@@ -150,12 +150,12 @@
         lines=lines,
     )
     gateway, metrics = base.gateway, base.metrics
-    hearers: list = []
+    receivers: list = []
     links = LinkService(
         address=settings.peers,
         poller=base.poller,
         metrics=metrics,
-        hear=lambda message: _hear(hearers, message),
+        receive=lambda message: _receive(receivers, message),
     )
     peering = Peering(
         name=settings.name,
@@ -178,19 +178,19 @@
         choose=random.choice,
         on_decision=lambda decision: base.write_decision(decision, ""),
     )
-    handing = KeyHanding(state=state, incarnation=incarnation, links=links, tell=follower.run)
+    key_transfer = KeyTransfer(state=state, incarnation=incarnation, links=links, emit=follower.run)
     prober = Prober(
         dialect=DIALECT,
         pools=base.pools,
         timers=base.timers,
         metrics=metrics,
-        tell=follower.run,
+        emit=follower.run,
     )
     follower.probe = prober.probe
     gateway.announce_leaving = follower.announce_leaving
-    follower.send_offer = handing.send_offer
-    follower.send_keys = handing.send_keys
-    hearers.extend((peering.hear, follower.hear, handing.hear))
+    follower.send_offer = key_transfer.send_offer
+    follower.send_keys = key_transfer.send_keys
+    receivers.extend((peering.receive, follower.receive, key_transfer.receive))
     log, vms = _build_platform(settings, base, follower)
     follower.log = log
     base.gate.open(settings.callers)
@@ -207,9 +207,9 @@
     )
 
 
-def _hear(hearers: list, message: PeerMessage) -> None:
-    for hear in hearers:
-        if hear(message):
+def _receive(receivers: list, message: PeerMessage) -> None:
+    for receive in receivers:
+        if receive(message):
             return
 
 
@@ -230,7 +230,7 @@
 
     def lose_log(reason: str) -> None:
         logger.warning("following: the log cannot be read", reason=reason)
-        follower.ask_records()
+        follower.request_records()
 
     def lose_vms(reason: str) -> None:
         logger.warning("following: the list of VMs cannot be read", reason=reason)
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/configuration_following.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/configuration_following.py
@@ -38,7 +38,7 @@
         self._state = access.state
         self._calls = access.calls
         self._mesh = access.mesh
-        self._tell = access.tell
+        self._emit = access.emit
         self._document = b""
         self._parts: dict[tuple[str, int], dict[int, bytes]] = {}
         self._asked_at = float("-inf")
@@ -57,7 +57,7 @@
         """Read the configuration; if it was read before, wait for a newer one."""
         self._reader.read(wait=WAIT_SECONDS)
 
-    def hear(self, message: Datagram) -> None:
+    def receive(self, message: Datagram) -> None:
         """Take a peer's message."""
         if isinstance(message, Heartbeat):
             self._compare(message)
@@ -68,11 +68,11 @@
 
     def _end_read(self) -> None:
         self._dependency.note_answer()
-        self._tell(ConfigurationReadEnded(now=time.monotonic()))
+        self._emit(ConfigurationReadEnded(now=time.monotonic()))
 
     def _fail(self, reason: str) -> None:
         self._dependency.note_failure(reason)
-        self._tell(ConfigurationReadFailed(now=time.monotonic(), reason=reason))
+        self._emit(ConfigurationReadFailed(now=time.monotonic(), reason=reason))
 
     def _take_records(self, records: list[StoreRecord]) -> None:
         for record in records:
@@ -92,7 +92,7 @@
         if current is None or configuration.revision > current.revision:
             self._document = document
         now = time.monotonic()
-        self._tell(ConfigurationStored(now=now, configuration=configuration, source=source))
+        self._emit(ConfigurationStored(now=now, configuration=configuration, source=source))
 
     def _compare(self, heartbeat: Heartbeat) -> None:
         current = self._state.configuration.current
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/directory.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/directory.py
@@ -40,7 +40,7 @@
             topic=Topic.DAEMONS,
             calls=access.calls,
             client=access.client,
-            take=self._greet,
+            take=self._send_first_heartbeats,
             listed=lambda keys, end: None,
             done=self._dependency.note_answer,
             failed=lambda reason: self._try_again(reason, self._reader.read),
@@ -68,7 +68,7 @@
     def _try_again(self, reason: str, call: Callable[[], None]) -> None:
         self._timers.call_after(delay=self._dependency.note_failure(reason), call=call)
 
-    def _greet(self, records: list[StoreRecord]) -> None:
+    def _send_first_heartbeats(self, records: list[StoreRecord]) -> None:
         for record in records:
             if record.key != self._own[0] and record.value is not None:
-                self._mesh.greet(record.value.decode("ascii", "replace"))
+                self._mesh.send_first_heartbeat(record.value.decode("ascii", "replace"))
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/following.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/following.py
@@ -101,7 +101,7 @@
     def begin(self, start: int) -> None:
         """Note that reading the log begins at an offset."""
         self.run(control.LogReadStarted(now=time.monotonic(), start=start))
-        self.ask_peers()
+        self.request_configuration()
 
     def take_record(self, offset: int, document: dict) -> None:
         """Take one record of the log; others than the project's are passed over."""
@@ -136,37 +136,37 @@
                 self._links.send(peer.name, Ping(**self._sign))
         for name in self._state.peers.removed:
             self._links.disconnect_peer(name)
-        self.ask_peers()
+        self.request_configuration()
 
-    def ask_peers(self) -> None:
+    def request_configuration(self) -> None:
         """Ask peers for the configuration while the log does not tell it."""
         configuration = self._state.configuration
         if configuration.current is not None and configuration.chain.known:
             return
-        question = ConfigurationOffer(**self._sign)
+        request = ConfigurationOffer(**self._sign)
         for name in self._state.peers.listed:
-            self._links.send(name, question)
+            self._links.send(name, request)
 
-    def ask_records(self) -> None:
+    def request_records(self) -> None:
         """Ask one peer for records, because the log cannot be read."""
         usable = [each for each in self._state.peers.select_usable() if each != self._state.name]
         if usable and self.log is not None:
-            question = RecordsAsked(**self._sign, start=self.log.next)
-            self._links.send(self._choose(usable), question)
+            request = RecordsAsked(**self._sign, start=self.log.next)
+            self._links.send(self._choose(usable), request)
 
-    def hear(self, message: PeerMessage) -> bool:
+    def receive(self, message: PeerMessage) -> bool:
         """Take a peer's message that is about control.
 
         :returns: whether it was one
         """
         if isinstance(message, ConfigurationOffer):
-            self._hear_offer(message)
+            self._receive_offer(message)
         elif isinstance(message, RecordsAsked):
-            self._tell_records(message)
+            self._send_records(message)
         elif isinstance(message, RecordsTold):
-            self._hear_records(message)
+            self._receive_records(message)
         elif isinstance(message, LeavingNotice):
-            self._hear_leaving(message)
+            self._receive_leaving(message)
         else:
             return False
         return True
@@ -199,7 +199,7 @@
         )
         self._append(sign.model_dump())
 
-    def tell_stopping(self) -> None:
+    def announce_stopping(self) -> None:
         """Tell the peers that this daemon takes no new work."""
         notice = LeavingNotice(**self._sign)
         for name in self._state.peers.listed:
@@ -227,7 +227,7 @@
         )
         return [heard]
 
-    def _tell_records(self, message: RecordsAsked) -> None:
+    def _send_records(self, message: RecordsAsked) -> None:
         assert self.log is not None
         page = self.log.build_page(message.start)
         if page is None or (message.start is not None and page.next <= message.start):
@@ -235,7 +235,7 @@
         told = RecordsTold(**self._sign, page=page.model_dump_json().encode("utf-8"))
         self._links.send(message.sender, told)
 
-    def _hear_records(self, message: RecordsTold) -> None:
+    def _receive_records(self, message: RecordsTold) -> None:
         assert self.log is not None
         try:
             page = LogPage.model_validate_json(message.page)
@@ -244,7 +244,7 @@
             return
         self.log.take_from_peer(page)
 
-    def _hear_offer(self, message: ConfigurationOffer) -> None:
+    def _receive_offer(self, message: ConfigurationOffer) -> None:
         if message.id:
             model = ConfigurationModel.model_validate_json(message.document)
             self.documents[message.id] = model
@@ -265,7 +265,7 @@
         )
         self._links.send(message.sender, offer)
 
-    def _hear_leaving(self, message: LeavingNotice) -> None:
+    def _receive_leaving(self, message: LeavingNotice) -> None:
         if message.server:
             heard = control.LeavingReceived(
                 now=time.monotonic(),
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/key_transfer.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/key_transfer.py
@@ -30,7 +30,7 @@
     from dotterelgate_core.state import DaemonState
     from dotterelgate_daemon.links import LinkService
 
-__all__ = ["KeyHanding"]
+__all__ = ["KeyTransfer"]
 
 logger = structlog.get_logger("handing")
 
@@ -41,10 +41,10 @@
 _answer_decoder = msgspec.msgpack.Decoder(StoredAnswer)
 
 
-class KeyHanding:
+class KeyTransfer:
     """Sends a range's keys to its next holder, and takes those of others.
 
-    :param tell: runs a message through the control pipeline
+    :param emit: runs a message through the control pipeline
     """
 
     def __init__(
@@ -53,12 +53,12 @@
         state: DaemonState,
         incarnation: str,
         links: LinkService,
-        tell: Callable[[Message], None],
+        emit: Callable[[Message], None],
     ) -> None:
         self._state = state
         self._incarnation = incarnation
         self._links = links
-        self._tell = tell
+        self._emit = emit
 
     def send_offer(self, order: control.SendOffer) -> None:
         """Offer a range."""
@@ -87,7 +87,7 @@
         )
         self._links.send(order.successor, message)
 
-    def hear(self, message: PeerMessage) -> bool:
+    def receive(self, message: PeerMessage) -> bool:
         """Take a peer's message that is about keys.
 
         :returns: whether it was one
@@ -95,7 +95,7 @@
         if isinstance(message, HandedKeys):
             self._take_keys(message)
         elif isinstance(message, KeysTaken):
-            self._tell(control.KeysReceived(resource=message.resource, transfer=message.transfer))
+            self._emit(control.KeysReceived(resource=message.resource, transfer=message.transfer))
         elif isinstance(message, RangeOffer):
             self._take_offer(message)
         elif isinstance(message, RangeTaken):
@@ -104,7 +104,7 @@
                 transfer=message.transfer,
                 incarnation=message.incarnation,
             )
-            self._tell(taken)
+            self._emit(taken)
         else:
             return False
         return True
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/keyed_reading.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/keyed_reading.py
@@ -36,14 +36,14 @@
     :param calls: how the store is asked
     :param client: sends the calls
     :param mesh: reaches the peers
-    :param tell: runs a message through the control pipeline
+    :param emit: runs a message through the control pipeline
     """
 
     state: DaemonState
     calls: StoreCalls
     client: PlatformClient
     mesh: Mesh
-    tell: Callable[[Message], None]
+    emit: Callable[[Message], None]
 
 
 class Dependency:
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/links.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/links.py
@@ -46,7 +46,7 @@
 class LinkService(BaseComponent):
     """Sends to and hears all other daemons.
 
-    :param hear: called with each valid message
+    :param receive: called with each valid message
     """
 
     channel = "links"
@@ -57,10 +57,10 @@
         address: str,
         poller: EPoll,
         metrics: Metrics,
-        hear: Callable[[PeerMessage], None],
+        receive: Callable[[PeerMessage], None],
     ) -> None:
         super().__init__()
-        self._hear = hear
+        self._receive = receive
         self._metrics = metrics
         self._links: dict[str, _Link] = {}
         self._inbox = pynng.Pull0(recv_max_size=RECEIVE_LIMIT_BYTES)
@@ -160,4 +160,4 @@
             if message is None:
                 logger.warning("links: a message is not valid and is dropped")
                 continue
-            self._hear(message)
+            self._receive(message)
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/mesh.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/mesh.py
@@ -50,9 +50,9 @@
 # Reports that only a probe brought may wait for others.
 REPORT_FLUSH_SECONDS = 0.008
 # Other availability zones hear every eighth heartbeat; bytes between zones cost.
-FAR_EVERY = 8
+REMOTE_EVERY = 8
 # Other zones are told of reports that are not older; the next probe brings more.
-FAR_AGE_SECONDS = 0.1
+REMOTE_AGE_SECONDS = 0.1
 # Where there are many peers in other zones, loads are told there half as often; a zone of
 # that size seldom needs the others' backend servers.
 MOST_RELAY_SCALE = 2
@@ -64,7 +64,7 @@
     """Sends to and hears the other daemons; a lost datagram only costs freshness.
 
     :param address: where this daemon takes datagrams
-    :param tell: runs a message through the control pipeline
+    :param emit: runs a message through the control pipeline
     """
 
     channel = "mesh"
@@ -78,7 +78,7 @@
         poller: DirectPoller,
         timers: TimerService,
         metrics: Metrics,
-        tell: Callable[[Message], None],
+        emit: Callable[[Message], None],
     ) -> None:
         self.address = address
         self.take_news: Callable[[Datagram], None] = lambda message: None
@@ -87,7 +87,7 @@
         self._timers = timers
         self._metrics = metrics
         self._sent_bytes = metrics.control_bytes.labels(channel="mesh")
-        self._tell = tell
+        self._emit = emit
         self._beats = 0
         self._relays = 0
         self._has_told_stop = False
@@ -111,12 +111,14 @@
             self._flush_at = due
             self._timers.call_after(delay=due - now, call=self._flush)
 
-    def beat(self) -> None:
+    def send_heartbeats(self) -> None:
         """Send a heartbeat to the own zone, and now and then to the others.
 
         A daemon that stops tells all at once; so does one that starts, by its greeting.
         """
-        includes_remote = self._beats % (FAR_EVERY * find_remote_interval_factor(self._state)) == 0
+        includes_remote = (
+            self._beats % (REMOTE_EVERY * find_remote_interval_factor(self._state)) == 0
+        )
         if self._state.peers.leaving and not self._has_told_stop:
             includes_remote = self._has_told_stop = True
         self._beats += 1
@@ -141,7 +143,7 @@
         for service, pool in state.servers.by_service.items():
             if find_owner(state, service, now) != state.name:
                 continue
-            loads = [build_far_entry(each, now) for each in pool if _is_news(each, state, now)]
+            loads = [build_remote_entry(each, now) for each in pool if _is_news(each, state, now)]
             if loads:
                 self._relay(service, loads, zones, now)
 
@@ -155,7 +157,7 @@
             for name in list_owners(state, service, now, zone)[:1]:
                 self.send(state.peers.listed[name].address, data)
 
-    def greet(self, address: str) -> None:
+    def send_first_heartbeat(self, address: str) -> None:
         """Ask the daemon at an address for a heartbeat."""
         message = self._build_heartbeat(counts=False, wants_reply=True)
         self.send(address, encode_datagram(message))
@@ -180,7 +182,7 @@
         """Send one message."""
         self.send(address, encode_datagram(message))
 
-    def list_near(self) -> list[str]:
+    def list_zone_peers(self) -> list[str]:
         """List the addresses of the daemons of the own zone that are heard."""
         names = select_zone_peers(self._state, time.monotonic())
         return [self._state.peers.listed[name].address for name in names]
@@ -248,7 +250,7 @@
         if message.sender == self._state.name:
             return
         if isinstance(message, LoadUpdate):
-            self._tell(read_load_news(message, time.monotonic()))
+            self._emit(read_load_update(message, time.monotonic()))
         elif isinstance(message, Heartbeat):
             self._take_heartbeat(message)
         else:
@@ -265,7 +267,7 @@
             in_flight=message.in_flight,
             can_decide=message.can_decide,
         )
-        self._tell(heard)
+        self._emit(heard)
         if message.wants_reply:
             self.send_message(message.address, self._build_heartbeat(counts=True))
         self.take_news(message)
@@ -277,7 +279,7 @@
 
 def _is_news(server: ServerState, state: DaemonState, now: float) -> bool:
     is_own_zone = server.server.zone == state.zone
-    return is_own_zone and now - server.view.reported_at < FAR_AGE_SECONDS
+    return is_own_zone and now - server.view.reported_at < REMOTE_AGE_SECONDS
 
 
 def build_load_entry(server: ServerState, now: float) -> LoadEntry:
@@ -301,7 +303,7 @@
     return entry
 
 
-def build_far_entry(server: ServerState, now: float) -> LoadEntry:
+def build_remote_entry(server: ServerState, now: float) -> LoadEntry:
     """Build what another zone is told of a backend server: all that is at it."""
     report = server.view.report
     return LoadEntry(
@@ -314,7 +316,7 @@
     )
 
 
-def read_load_news(message: LoadUpdate, now: float) -> LoadsReceived:
+def read_load_update(message: LoadUpdate, now: float) -> LoadsReceived:
     """Read a peer's news into the message of the decisions."""
     loads = tuple(_read_load(entry) for entry in message.loads)
     return LoadsReceived(
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/peering.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/peering.py
@@ -91,7 +91,7 @@
         message = Withdrawal(sender=self._name, incarnation=self._incarnation, call_id=call_id)
         self._links.send(peer_name, message, call_id=call_id)
 
-    def hear(self, message: PeerMessage) -> bool:
+    def receive(self, message: PeerMessage) -> bool:
         """Take a message that is about calls.
 
         :returns: whether it was one
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/prober.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/prober.py
@@ -32,7 +32,7 @@
     """Carries out probes.
 
     :param dialect: how the system's own headers are read and written
-    :param tell: runs a message through the control pipeline
+    :param emit: runs a message through the control pipeline
     """
 
     def __init__(
@@ -42,14 +42,14 @@
         pools: PoolTable,
         timers: TimerService,
         metrics: Metrics,
-        tell: Callable[[Message], None],
+        emit: Callable[[Message], None],
     ) -> None:
         self._dialect = dialect
         self._pools = pools
         self._pending: list[tuple[float, Exchange, str]] = []
         timers.subscribe(interval=SWEEP_SECONDS, call=self._end_late)
         self._metrics = metrics
-        self._tell = tell
+        self._emit = emit
 
     def probe(self, order: Probe) -> None:
         """Send a probe and tell what became of it."""
@@ -59,7 +59,7 @@
         answers: list[AnswerTerms] = []
         statuses: list[int] = []
 
-        def tell(*, answered: bool) -> None:
+        def emit(*, answered: bool) -> None:
             message = ProbeEnded(
                 now=time.monotonic(),
                 wall=sent_wall,
@@ -71,7 +71,7 @@
                 load=answers[0].report.load if answers else None,
                 reported_name=answers[0].server if answers else None,
             )
-            self._tell(message)
+            self._emit(message)
 
         def begin(head: AnswerHead) -> None:
             answers.append(self._dialect.read_answer(head.headers))
@@ -87,8 +87,8 @@
             chunked=False,
             begin=begin,
             part=lambda part: None,
-            whole=lambda: tell(answered=True),
-            failed=lambda end: tell(answered=False),
+            whole=lambda: emit(answered=True),
+            failed=lambda end: emit(answered=False),
         )
         pool = self._pools.find(server.address, limit=server.connections)
         pool.run(exchange, fresh=False)
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/registry_following.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/registry_following.py
@@ -51,7 +51,7 @@
         self._registry = registry
         self._calls = access.calls
         self._mesh = access.mesh
-        self._tell = access.tell
+        self._emit = access.emit
         self._known: dict[str, Registration | None] = {}
         self._entries: dict[str, RegistryEntry] = {}
         self._has_failed = False
@@ -73,16 +73,16 @@
         """Read what is new."""
         self._reader.read()
 
-    def hear(self, message: Datagram) -> None:
+    def receive(self, message: Datagram) -> None:
         """Take a peer's message."""
         if isinstance(message, RegistryUpdate):
             self._take_news(message)
         elif isinstance(message, Heartbeat):
-            self._ask_peer(message)
+            self._request_registry(message)
         elif isinstance(message, RegistryRequest):
-            self._tell_all(message.address)
+            self._send_all(message.address)
 
-    def _ask_peer(self, heartbeat: Heartbeat) -> None:
+    def _request_registry(self, heartbeat: Heartbeat) -> None:
         """Ask a peer for all entries where the store does not answer."""
         now = time.monotonic()
         if not self._has_failed or self._state.servers.states or not heartbeat.can_decide:
@@ -94,7 +94,7 @@
         request = RegistryRequest(sender=self._state.name, address=self._mesh.address)
         self._mesh.send_message(heartbeat.address, request)
 
-    def _tell_all(self, address: str) -> None:
+    def _send_all(self, address: str) -> None:
         """Send all entries known here, in as many datagrams as they need."""
         position = self._reader.position
         if position is None:
@@ -117,18 +117,18 @@
         self._mesh.send_message(address, update)
 
     def _note_listing(self, keys: frozenset[str], end: int) -> None:
-        self._tell(RegistryListed(now=time.monotonic(), names=keys, end=end))
+        self._emit(RegistryListed(now=time.monotonic(), names=keys, end=end))
 
     def _end_read(self) -> None:
         self._dependency.note_answer()
         now = time.monotonic()
-        self._tell(RegistryReadEnded(now=now))
-        self._tell_peers(now)
+        self._emit(RegistryReadEnded(now=now))
+        self._announce_changes(now)
 
     def _fail(self, reason: str) -> None:
         self._has_failed = True
         self._dependency.note_failure(reason)
-        self._tell(RegistryReadFailed(now=time.monotonic(), reason=reason))
+        self._emit(RegistryReadFailed(now=time.monotonic(), reason=reason))
 
     def _take_records(self, records: list[StoreRecord], source: str) -> None:
         now = time.monotonic()
@@ -146,7 +146,7 @@
                 reason=reason,
                 source=source,
             )
-            self._tell(read)
+            self._emit(read)
 
     def _keep_newest(self, entry: RegistryEntry) -> None:
         if entry.offset < self._registry.offsets.get(entry.name, -1):
@@ -183,7 +183,7 @@
             or before.service != registration.service
         )
 
-    def _tell_peers(self, now: float) -> None:
+    def _announce_changes(self, now: float) -> None:
         position = self._reader.position
         if position is None:
             return
@@ -202,7 +202,7 @@
             returned_ms=int(returned * MILLISECONDS) if returned < REPEATED_SECONDS else -1,
             entries=entries,
         )
-        for address in self._mesh.list_near():
+        for address in self._mesh.list_zone_peers():
             self._mesh.send_message(address, update)
 
     def _take_news(self, update: RegistryUpdate) -> None:
@@ -217,7 +217,7 @@
             returned_at = float("-inf")
         position = self._reader.position
         if position is not None and position >= update.start:
-            self._tell(RegistryUpdateReceived(now=now, returned_at=returned_at))
+            self._emit(RegistryUpdateReceived(now=now, returned_at=returned_at))
             self._reader.position = max(position, update.end)
         self._take_records(records, update.sender)
 
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/slot_exchange.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/slot_exchange.py
@@ -33,34 +33,34 @@
 class SlotExchange:
     """Carries the pipeline's orders about slots to other daemons, and theirs to it.
 
-    :param tell: runs a message through the request pipeline
+    :param emit: runs a message through the request pipeline
     """
 
-    def __init__(self, *, state: DaemonState, mesh: Mesh, tell: Callable[[Message], None]) -> None:
+    def __init__(self, *, state: DaemonState, mesh: Mesh, emit: Callable[[Message], None]) -> None:
         self._state = state
         self._mesh = mesh
-        self._tell = tell
+        self._emit = emit
         self.sinks: dict[type, Callable[[Message], None]] = {
-            slots.RequestSlot: self._ask,
+            slots.RequestSlot: self._request,
             slots.GrantSlot: self._grant,
             slots.QueueSlot: self._queue,
             slots.DenySlot: self._deny,
             slots.WithdrawSlot: self._withdraw,
         }
 
-    def hear(self, message: Datagram) -> None:
+    def receive(self, message: Datagram) -> None:
         """Take a peer's message."""
         now = time.monotonic()
         if isinstance(message, SlotRequestDatagram):
-            self._tell(_read_request(message, now))
+            self._emit(_read_request(message, now))
         elif isinstance(message, SlotGrantDatagram):
-            self._tell(_read_grant(message, now))
+            self._emit(_read_grant(message, now))
         elif isinstance(message, SlotQueuedDatagram):
-            self._tell(slots.SlotQueued(now=now, call_id=message.call_id))
+            self._emit(slots.SlotQueued(now=now, call_id=message.call_id))
         elif isinstance(message, SlotDenialDatagram):
             self._receive_denial(message, now)
         elif isinstance(message, SlotWithdrawalDatagram):
-            self._tell(slots.SlotWithdrawn(now=now, call_id=message.call_id))
+            self._emit(slots.SlotWithdrawn(now=now, call_id=message.call_id))
 
     def _send(self, name: str, message: Datagram) -> None:
         peer = self._state.peers.listed.get(name)
@@ -68,7 +68,7 @@
         if peer is not None:
             self._mesh.send_message(peer.address, message)
 
-    def _ask(self, order: slots.RequestSlot) -> None:
+    def _request(self, order: slots.RequestSlot) -> None:
         request = order.request
         datagram = SlotRequestDatagram(
             sender=self._state.name,
@@ -124,7 +124,7 @@
             )
             return
         refusal = Refusal(code, message.reason, retry_after=message.retry_after)
-        self._tell(slots.SlotDenied(now=now, call_id=message.call_id, refusal=refusal))
+        self._emit(slots.SlotDenied(now=now, call_id=message.call_id, refusal=refusal))
 
 
 def _read_request(message: SlotRequestDatagram, now: float) -> slots.SlotRequested:
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/stopping.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/stopping.py
@@ -33,7 +33,7 @@
 
     :param linger: seconds that the balancer may still send callers
     :param limit: seconds until the process ends whatever is left
-    :param tell_stopping: tells the peers
+    :param announce_stopping: tells the peers
     :param count_held: counts leases that are not handed over yet
     :param retire: lets go of leases that cannot be handed over
     :param finish: ends the loop
@@ -48,7 +48,7 @@
         gate: CallerGate,
         gateway: Gateway,
         timers: TimerService,
-        tell_stopping: Callable[[], None],
+        announce_stopping: Callable[[], None],
         finish: Callable[[], None],
         count_held: Callable[[], int] = lambda: 0,
         retire: Callable[[], None] = lambda: None,
@@ -59,7 +59,7 @@
         self._gate = gate
         self._gateway = gateway
         self._timers = timers
-        self._tell_stopping = tell_stopping
+        self._announce_stopping = announce_stopping
         self._count_held = count_held
         self._retire = retire
         self._finish = finish
@@ -74,7 +74,7 @@
         self._began_at = time.monotonic()
         self._state.peers.leaving = True
         self._gate.is_stopping = True
-        self._tell_stopping()
+        self._announce_stopping()
         logger.info("stopping: a graceful stop began", in_progress=len(self._gateway.pending))
         self._timers.subscribe(interval=CHECK_SECONDS, call=self._check)
 
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/store_assembly.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/store_assembly.py
@@ -92,7 +92,7 @@
         gate=base.gate,
         gateway=base.gateway,
         timers=base.timers,
-        tell_stopping=control.mesh.beat,
+        announce_stopping=control.mesh.send_heartbeats,
         finish=daemon.stop,
     ).begin
     base.poller.register(daemon)
@@ -187,7 +187,7 @@
         """Begin to read, to tick and to be heard."""
         timers = self._base.timers
         timers.subscribe(interval=CONTROL_TICK_SECONDS, call=self._tick)
-        timers.subscribe(interval=HEARTBEAT_SECONDS, call=self.mesh.beat)
+        timers.subscribe(interval=HEARTBEAT_SECONDS, call=self.mesh.send_heartbeats)
         timers.subscribe(interval=RELAY_SECONDS, call=self.mesh.relay)
         timers.call_after(delay=0.0, call=self.directory.start)
 
@@ -213,7 +213,7 @@
         pools=base.pools,
         timers=base.timers,
         metrics=base.metrics,
-        tell=lambda message: control.run(message),
+        emit=lambda message: control.run(message),
     )
     control = StoreControl(
         decide=make_store_pipeline(state, registry, ReadingState()),
@@ -236,21 +236,21 @@
         poller=base.poller,
         timers=base.timers,
         metrics=base.metrics,
-        tell=control.run,
+        emit=control.run,
     )
-    access = StoreAccess(state=state, calls=calls, client=client, mesh=mesh, tell=control.run)
+    access = StoreAccess(state=state, calls=calls, client=client, mesh=mesh, emit=control.run)
     control.configuration = ConfigurationFollower(access=access)
     control.registry = RegistryFollower(access=access, registry=registry)
     control.directory = DaemonDirectory(
         own=(settings.name, settings.peers), access=access, timers=base.timers
     )
-    exchange = SlotExchange(state=state, mesh=mesh, tell=base.gateway.run)
+    exchange = SlotExchange(state=state, mesh=mesh, emit=base.gateway.run)
     base.gateway.add_sinks(exchange.sinks)
 
     def take_news(message: Datagram) -> None:
-        exchange.hear(message)
-        control.configuration.hear(message)
-        control.registry.hear(message)
+        exchange.receive(message)
+        control.configuration.receive(message)
+        control.registry.receive(message)
 
     mesh.take_news = take_news
     base.gateway.after_run = mesh.note_changes
