--- a/packages/dotterelgate-core/src/dotterelgate_core/admission.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/admission.py
@@ -32,7 +32,7 @@
 
     def admit(message: Message) -> Iterable[Message]:
         if isinstance(message, Ticked):
-            return [*_refuse_late(state, policies, message.now), message]
+            return [*_refuse_overdue(state, policies, message.now), message]
         if not isinstance(message, CallRouted):
             return (message,)
         return _admit(state, policies, message)
@@ -46,9 +46,9 @@
     if call_state.attempts or call_state.admitted:
         queue.add_first(call_state)
         return [SlotFreed(now=routed.now, service=routed.service.name)]
-    refusal = _refuse(state, policies, routed, call_state)
+    refusal = _find_refusal(state, policies, routed, call_state)
     if refusal is not None:
-        return _end_refused(state, call_state, refusal, routed.now)
+        return _settle_refused(state, call_state, refusal, routed.now)
     note_admitted(state, call_state)
     queue.add(call_state)
     return [SlotFreed(now=routed.now, service=routed.service.name)]
@@ -67,7 +67,7 @@
     call_state.work = state.times.estimate(routed.service, routed.route)
 
 
-def _refuse(
+def _find_refusal(
     state: DaemonState,
     policies: Mapping[str, Policy],
     routed: CallRouted,
@@ -85,7 +85,7 @@
     wait = _estimate_wait(state, policy, routed, eligible)
     allowed = min(service.queue_limit, routed.deadline - routed.now)
     if policy.shared:
-        allowed = _limit_wait(state, call_state)
+        allowed = _compute_wait_limit(state, call_state)
     if wait <= allowed:
         return None
     reason = f"the expected wait of {wait * 1000:.0f} ms is too long"
@@ -106,24 +106,26 @@
     return queue.estimate_wait(route.priority, long=route.long, slots=slots)
 
 
-def _limit_wait(state: DaemonState, call_state: CallState) -> float:
+def _compute_wait_limit(state: DaemonState, call_state: CallState) -> float:
     """Limit the seconds that a call may wait before its dispatch."""
     routed = call_state.routed
-    time = routed.deadline - call_state.arrived
+    time_limit = routed.deadline - call_state.arrived
     work = call_state.work or state.times.estimate(routed.service, routed.route)
-    return max(0.0, min(WAIT_SHARE * time, time - work))
+    return max(0.0, min(WAIT_SHARE * time_limit, time_limit - work))
 
 
-def _refuse_late(state: DaemonState, policies: Mapping[str, Policy], now: float) -> list[Message]:
+def _refuse_overdue(
+    state: DaemonState, policies: Mapping[str, Policy], now: float
+) -> list[Message]:
     messages: list[Message] = []
     for service, queue in state.waiting.queues.items():
-        messages.extend(_refuse_late_of(state, policies, queue, now))
+        messages.extend(_refuse_overdue_in_queue(state, policies, queue, now))
         # What a call takes changes as it waits, also when no news come.
         messages.extend(free_slots(state, (service,), now))
     return messages
 
 
-def _refuse_late_of(
+def _refuse_overdue_in_queue(
     state: DaemonState, policies: Mapping[str, Policy], queue: ServiceQueue, now: float
 ) -> list[Message]:
     messages: list[Message] = []
@@ -134,17 +136,17 @@
         if not policies[call_state.routed.service.policy].shared:
             return messages
         waited = now - call_state.arrived
-        if waited <= _limit_wait(state, call_state):
+        if waited <= _compute_wait_limit(state, call_state):
             continue
         call_state.queued = False
         reason = f"no backend server came free within {waited * 1000:.0f} ms"
-        advice = choose_retry_after(call_state, now)
-        refusal = Refusal(codes.OVERLOADED, reason, retry_after=advice)
-        messages.extend(_end_refused(state, call_state, refusal, now))
+        retry_after = choose_retry_after(call_state, now)
+        refusal = Refusal(codes.OVERLOADED, reason, retry_after=retry_after)
+        messages.extend(_settle_refused(state, call_state, refusal, now))
     return messages
 
 
-def _end_refused(
+def _settle_refused(
     state: DaemonState, call_state: CallState, refusal: Refusal, now: float
 ) -> list[Message]:
     service = call_state.routed.service.name
--- a/packages/dotterelgate-core/src/dotterelgate_core/asking.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/asking.py
@@ -36,22 +36,22 @@
 # Owners asked for one call; then this daemon chooses by its own view.
 OWNERS_LIMIT = 2
 # A grant may name a backend server that this daemon knows to be leaving.
-USELESS_GRANTS_LIMIT = 3
+UNUSABLE_GRANTS_LIMIT = 3
 
 
 @dataclass(kw_only=True, slots=True)
 class PendingRequest:
     """One call that waits for an owner's answer.
 
-    :param asked_at: monotonic second of the newest question
+    :param requested_at: monotonic second of the newest question
     :param unanswered: questions since the owner's last answer
-    :param useless: grants that could not be used
+    :param unusable: grants that could not be used
     """
 
     owner: str
-    asked_at: float
+    requested_at: float
     unanswered: int = 1
-    useless: int = 0
+    unusable: int = 0
 
 
 @dataclass(kw_only=True, slots=True)
@@ -69,33 +69,33 @@
 ) -> Filter:
     """Make the filter from routed calls to questions, and from answers to dispatches."""
 
-    def ask(message: Message) -> Iterable[Message]:
+    def request(message: Message) -> Iterable[Message]:
         orders: list[Message] = []
-        for order in take(message):
+        for order in handle(message):
             if isinstance(order, CallRouted):
-                orders.extend(_ask_first(state, asking, policies, order))
+                orders.extend(_request_slot(state, asking, policies, order))
             else:
                 orders.append(order)
         return orders
 
-    def take(message: Message) -> Iterable[Message]:
+    def handle(message: Message) -> Iterable[Message]:
         if isinstance(message, SlotGranted):
-            return _take_grant(state, asking, message)
+            return _handle_grant(state, asking, message)
         if isinstance(message, SlotQueued):
             pending = asking.requests.get(message.call_id)
             if pending is not None:
                 pending.unanswered = 0
             return ()
         if isinstance(message, SlotDenied):
-            return _take_denial(state, asking, message)
+            return _handle_denial(state, asking, message)
         if isinstance(message, Ticked):
-            return [*_look_after(state, asking, message.now), message]
+            return [*_check_pending(state, asking, message.now), message]
         return (message,)
 
-    return ask
+    return request
 
 
-def _ask_first(
+def _request_slot(
     state: DaemonState,
     asking: AskingState,
     policies: Mapping[str, Policy],
@@ -115,7 +115,7 @@
     if not call_state.admitted:
         note_admitted(state, call_state)
     call_state.queued = True
-    asking.requests[routed.call.id] = PendingRequest(owner=owner, asked_at=routed.now)
+    asking.requests[routed.call.id] = PendingRequest(owner=owner, requested_at=routed.now)
     return [_build_request(call_state, owner, routed.now)]
 
 
@@ -135,7 +135,7 @@
     return RequestSlot(owner=owner, request=request)
 
 
-def _take_grant(state: DaemonState, asking: AskingState, granted: SlotGranted) -> list[Message]:
+def _handle_grant(state: DaemonState, asking: AskingState, granted: SlotGranted) -> list[Message]:
     pending = asking.requests.get(granted.call_id)
     call_state = state.calls.states.get(granted.call_id)
     name = granted.grant.server
@@ -146,41 +146,41 @@
     server = state.servers.states.get(name)
     if server is None or not server.is_eligible(granted.now):
         state.servers.changed.add(name)
-        return _ask_again(state, asking, pending, call_state, name, granted.now)
+        return _request_another(state, asking, pending, call_state, name, granted.now)
     del asking.requests[granted.call_id]
     facts = {
         "owner": granted.owner,
         "slowdown": granted.grant.slowdown,
         "report_age_ms": round(granted.grant.report_age * 1000),
     }
-    call_state.expected = granted.grant.slowdown
+    call_state.expected_slowdown = granted.grant.slowdown
     return dispatch_call(state, call_state, server, granted.now, facts)
 
 
-def _ask_again(
+def _request_another(
     state: DaemonState,
     asking: AskingState,
     pending: PendingRequest,
     call_state: CallState,
-    useless: str,
+    unusable: str,
     now: float,
 ) -> list[Message]:
-    call_state.avoided.add(useless)
-    pending.useless += 1
-    if pending.useless < USELESS_GRANTS_LIMIT:
-        pending.asked_at = now
+    call_state.avoided.add(unusable)
+    pending.unusable += 1
+    if pending.unusable < UNUSABLE_GRANTS_LIMIT:
+        pending.requested_at = now
         return [_build_request(call_state, pending.owner, now)]
-    return _choose_here(asking, call_state, now, "its grants cannot be used")
+    return _skip_owner(asking, call_state, now, "its grants cannot be used")
 
 
-def _take_denial(state: DaemonState, asking: AskingState, denied: SlotDenied) -> list[Message]:
+def _handle_denial(state: DaemonState, asking: AskingState, denied: SlotDenied) -> list[Message]:
     pending = asking.requests.get(denied.call_id)
     call_state = state.calls.states.get(denied.call_id)
     if pending is None or call_state is None or call_state.server is not None:
         return []
     if denied.refusal.code in (codes.NO_CONFIGURATION, codes.NO_SERVER):
         # This daemon knows of a route and of backend servers; the owner lags behind.
-        return _choose_here(asking, call_state, denied.now, denied.refusal.reason)
+        return _skip_owner(asking, call_state, denied.now, denied.refusal.reason)
     del asking.requests[denied.call_id]
     call_state.queued = False
     decision = Decision(
@@ -194,19 +194,19 @@
     return [decision, settled]
 
 
-def _look_after(state: DaemonState, asking: AskingState, now: float) -> list[Message]:
+def _check_pending(state: DaemonState, asking: AskingState, now: float) -> list[Message]:
     messages: list[Message] = []
     for call_id, pending in list(asking.requests.items()):
         call_state = state.calls.states.get(call_id)
         if call_state is None:
             del asking.requests[call_id]
             messages.append(WithdrawSlot(owner=pending.owner, call_id=call_id))
-        elif now - pending.asked_at >= REPEAT_SECONDS:
-            messages.extend(_repeat(state, asking, pending, call_state, now))
+        elif now - pending.requested_at >= REPEAT_SECONDS:
+            messages.extend(_repeat_request(state, asking, pending, call_state, now))
     return messages
 
 
-def _repeat(
+def _repeat_request(
     state: DaemonState,
     asking: AskingState,
     pending: PendingRequest,
@@ -215,13 +215,13 @@
 ) -> list[Message]:
     if pending.unanswered >= UNANSWERED_LIMIT:
         state.owners.suspect(pending.owner, now)
-        return _choose_here(asking, call_state, now, "it does not answer")
+        return _skip_owner(asking, call_state, now, "it does not answer")
     pending.unanswered += 1
-    pending.asked_at = now
+    pending.requested_at = now
     return [_build_request(call_state, pending.owner, now)]
 
 
-def _choose_here(
+def _skip_owner(
     asking: AskingState, call_state: CallState, now: float, reason: str
 ) -> list[Message]:
     """Try the next owner, or choose here once enough were tried."""
--- a/packages/dotterelgate-core/src/dotterelgate_core/binding.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/binding.py
@@ -20,7 +20,7 @@
 
 __all__ = ["dispatch_call", "make_binding_filter"]
 
-HELD_GRACE_SECONDS = 10.0
+FENCED_GRACE_SECONDS = 10.0
 
 
 def make_binding_filter(state: DaemonState, policies: Mapping[str, Policy]) -> Filter:
@@ -53,10 +53,10 @@
     freed: SlotFreed,
 ) -> list[Message]:
     pool = state.servers.by_service.get(freed.service, [])
-    line = _find_line(state, queue, pool, freed.service)
-    if line is None:
+    subqueue = _find_subqueue(state, queue, pool, freed.service)
+    if subqueue is None:
         return []
-    call_state = _choose_call(state, line, freed.now)
+    call_state = _choose_call(state, subqueue, freed.now)
     policy = policies[call_state.routed.service.policy]
     candidates = _select_candidates(pool, call_state, freed.now, late=policy.late)
     if not candidates:
@@ -64,35 +64,35 @@
     chosen = policy.choose(candidates, call_state, freed.now)
     if chosen is None:
         return []
-    line.remove(call_state.call.id)
+    subqueue.remove(call_state.call.id)
     chosen.chosen_at = freed.now
     if call_state.requester is not None:
         return _grant(call_state, chosen, freed.now)
-    call_state.expected = chosen.view.estimate_slowdown(freed.now, 1.0)
-    return dispatch_call(state, call_state, chosen, freed.now, _list_view(chosen, freed.now))
+    call_state.expected_slowdown = chosen.view.estimate_slowdown(freed.now, 1.0)
+    return dispatch_call(state, call_state, chosen, freed.now, _list_report(chosen, freed.now))
 
 
-def _find_line(
+def _find_subqueue(
     state: DaemonState, queue: ServiceQueue, pool: list[ServerState], service: str
 ) -> deque[int] | None:
     configured = state.configuration.find_service(service)
     share = 1.0 if configured is None else configured.long_share
     slots = sum(each.server.slots for each in pool)
     long_allowed = queue.long_in_flight < max(1, slots * share)
-    for line in queue.list_lines(long_allowed=long_allowed):
-        _drop_ended(state, line)
-        if line:
-            return line
+    for subqueue in queue.list_subqueues(long_allowed=long_allowed):
+        _drop_ended(state, subqueue)
+        if subqueue:
+            return subqueue
     return None
 
 
-def _choose_call(state: DaemonState, line: deque[int], now: float) -> CallState:
+def _choose_call(state: DaemonState, subqueue: deque[int], now: float) -> CallState:
     """Choose the oldest call that can still be answered within its target, if any.
 
     Those that cannot get the slots that are left over, oldest first.
     """
     first: CallState | None = None
-    for call_id in line:
+    for call_id in subqueue:
         call_state = state.calls.states.get(call_id)
         if call_state is None or not call_state.queued:
             continue
@@ -103,20 +103,20 @@
     return first
 
 
-def _drop_ended(state: DaemonState, line: deque[int]) -> None:
-    while line:
-        call_state = state.calls.states.get(line[0])
+def _drop_ended(state: DaemonState, subqueue: deque[int]) -> None:
+    while subqueue:
+        call_state = state.calls.states.get(subqueue[0])
         if call_state is not None and call_state.queued:
             return
-        line.popleft()
+        subqueue.popleft()
 
 
 def _select_candidates(
     pool: list[ServerState], call_state: CallState, now: float, *, late: bool
 ) -> list[ServerState]:
     eligible = [each for each in pool if each.is_eligible(now)]
-    fresh = [each for each in eligible if each.server.name not in call_state.avoided]
-    candidates = fresh or eligible
+    untried = [each for each in eligible if each.server.name not in call_state.avoided]
+    candidates = untried or eligible
     if not late:
         return candidates
     return [each for each in candidates if each.count_free() > 0]
@@ -127,7 +127,7 @@
     assert call_state.requester is not None
     call_state.queued = False
     call_state.sent_at = now
-    sentence = _explain(chosen)
+    sentence = _describe_choice(chosen)
     # The asker's next news say the same; until then the slot must not be given twice.
     chosen.view.add_peer_request(call_state.requester, now)
     report = chosen.view.report
@@ -140,7 +140,7 @@
         "asker": call_state.requester,
         "asked_request": call_state.call.request_id,
         **_list_times(call_state, now),
-        **_list_view(chosen, now),
+        **_list_report(chosen, now),
     }
     return [
         GrantSlot(requester=call_state.requester, call_id=call_state.call.id, grant=grant),
@@ -176,7 +176,7 @@
     chosen.used_at = now
     if routed.route.long:
         state.waiting.find(routed.service.name).long_in_flight += 1
-    grace = HELD_GRACE_SECONDS if is_fenced(call_state) else 0.0
+    grace = FENCED_GRACE_SECONDS if is_fenced(call_state) else 0.0
     return [
         Dispatch(
             call_id=routed.call.id,
@@ -188,7 +188,7 @@
         ),
         Decision(
             part="binding",
-            sentence=_explain(chosen),
+            sentence=_describe_choice(chosen),
             call_id=routed.call.id,
             service=routed.service.name,
             target=chosen.server.name,
@@ -206,7 +206,7 @@
     }
 
 
-def _list_view(chosen: ServerState, now: float) -> dict[str, object]:
+def _list_report(chosen: ServerState, now: float) -> dict[str, object]:
     view = chosen.view
     if view.report is None:
         return {}
@@ -221,7 +221,7 @@
     return call_state.digest is not None or call_state.call.fence is not None
 
 
-def _explain(chosen: ServerState) -> str:
+def _describe_choice(chosen: ServerState) -> str:
     return (
         f"sent to {chosen.server.name} with {chosen.count_load()} of "
         f"{chosen.server.slots} slots in use"
--- a/packages/dotterelgate-core/src/dotterelgate_core/calls.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/calls.py
@@ -14,7 +14,7 @@
 # Time on the way from and to the caller, which the target includes.
 CALLER_NETWORK_SECONDS = 0.016
 # Slowdown that a call of usual luck meets: one of several requests at a backend server.
-EXPECTED_FACTOR = 1.5
+EXPECTED_SLOWDOWN = 1.5
 
 
 @dataclass(kw_only=True, slots=True)
@@ -34,8 +34,8 @@
     :param queued: whether it waits for a slot
     :param joined: whether it waits for the answer to another call with its key
     :param arrived: monotonic second at which it was routed first
-    :param expected: slowdown that its dispatch was expected to meet
-    :param unsent: dispatches of which nothing was sent
+    :param expected_slowdown: slowdown that its dispatch was expected to meet
+    :param unsent_attempts: dispatches of which nothing was sent
     :param admitted: whether it was let into the queue
     :param work: seconds that it is expected to take on a calm backend server
     :param may_have_run: whether an attempt ran, or may have
@@ -56,15 +56,15 @@
     queued: bool = False
     joined: bool = False
     arrived: float = 0.0
-    expected: float = 0.0
-    unsent: int = 0
+    expected_slowdown: float = 0.0
+    unsent_attempts: int = 0
     admitted: bool = False
     work: float = 0.0
     may_have_run: bool = False
     requester: str | None = None
     failed_owners: int = 0
 
-    def patient_until(self, share: float) -> float:
+    def compute_wait_end(self, share: float) -> float:
         """Tell until when it may wait for a better backend server.
 
         :param share: share of the target that it may wait
@@ -76,7 +76,7 @@
     def can_reach_target(self, now: float) -> bool:
         """Tell whether an answer within the target can be expected if it is sent now."""
         target = self.routed.route.target or self.routed.route.timeout
-        return now + EXPECTED_FACTOR * self.work + CALLER_NETWORK_SECONDS <= self.arrived + target
+        return now + EXPECTED_SLOWDOWN * self.work + CALLER_NETWORK_SECONDS <= self.arrived + target
 
     @property
     def call(self) -> Call:
--- a/packages/dotterelgate-core/src/dotterelgate_core/engine.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/engine.py
@@ -34,7 +34,7 @@
 def make_request_pipeline(
     state: DaemonState,
     random: Random,
-    further: Mapping[str, Policy] | None = None,
+    extra_policies: Mapping[str, Policy] | None = None,
     *,
     keyed: bool = True,
 ) -> Filter:
@@ -49,23 +49,23 @@
 
     :param state: the daemon's state
     :param random: source of random choices between equal backend servers
-    :param further: policies besides those that a configuration may name
+    :param extra_policies: policies besides those that a configuration may name
     :param keyed: whether callers send idempotency keys and queues have owners; without
         them no lease is needed
     """
-    policies = {**make_policies(random, state.zone), **(further or {})}
+    policies = {**make_policies(random, state.zone), **(extra_policies or {})}
     granting = GrantingState()
-    held = [make_holding_filter(state), make_owning_filter(state, policies)] if keyed else []
-    settled = [make_key_settling_filter(state)] if keyed else []
+    key_filters = [make_holding_filter(state), make_owning_filter(state, policies)] if keyed else []
+    key_settling_filters = [make_key_settling_filter(state)] if keyed else []
     return connect(
         make_route_filter(state),
         make_observing_filter(state),
         make_settling_filter(state),
-        *held,
+        *key_filters,
         make_granting_filter(state, granting),
         make_asking_filter(state, AskingState(), policies),
         make_admission_filter(state, policies),
-        *settled,
+        *key_settling_filters,
         make_binding_filter(state, policies),
         make_reply_filter(state, granting),
         make_finishing_filter(state),
--- a/packages/dotterelgate-core/src/dotterelgate_core/expected_time.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/expected_time.py
@@ -14,10 +14,10 @@
     from dotterelgate_core.calls import CallState
     from dotterelgate_core.servers import ServerState
 
-__all__ = ["estimate_factor", "make_expected_time_choice", "weigh_detours"]
+__all__ = ["estimate_time_factor", "find_penalty_factor", "make_expected_time_choice"]
 
 # Share of its slots up to which a backend server keeps its speed.
-CALM_SHARE = 0.8
+FULL_SPEED_SHARE = 0.8
 # Slowdown of one that is nearly full.
 CROWDED_FACTOR = 1.6
 # Each request already there costs a little, also below the calm share.
@@ -31,15 +31,15 @@
 # A call rather waits than takes a backend server slower than this, for a while.
 ACCEPTED_FACTOR = 3.0
 # Share of its target that a call waits for a better backend server.
-PATIENT_SHARE = 0.15
+BETTER_SERVER_WAIT_SHARE = 0.15
 # Share of its time after which a call takes one that answers after the target, as
 # long as it answers in time.
-LATE_SHARE = 0.2
+LATE_ANSWER_WAIT_SHARE = 0.2
 # A new connection costs both sides some milliseconds.
 UNCONNECTED_FACTOR = 1.25
 # One that was not chosen for so long is worth a new connection, so that those that join
 # are used.
-RESTED_SECONDS = 1.0
+UNUSED_SECONDS = 1.0
 # Choices closer than this share are taken in turn, so that daemons with the same
 # view do not all choose the same backend server.
 JITTER_SHARE = 0.05
@@ -59,10 +59,10 @@
         best: ServerState | None = None
         least = best_factor = float("inf")
         for state in states:
-            factor = estimate_factor(state, now, usual=usual)
-            cost = factor * weigh_detours(state, now, zone=zone)
-            is_rested = now - state.chosen_at >= RESTED_SECONDS
-            if not is_rested and not _is_connected(state, call, now):
+            factor = estimate_time_factor(state, now, usual=usual)
+            cost = factor * find_penalty_factor(state, now, zone=zone)
+            is_unused = now - state.chosen_at >= UNUSED_SECONDS
+            if not is_unused and not _is_connected(state, call, now):
                 cost *= UNCONNECTED_FACTOR
             cost *= 1.0 + JITTER_SHARE * random.random()
             if cost < least:
@@ -83,16 +83,16 @@
     """Tell whether to take the best backend server now rather than wait for another."""
     if factor <= ACCEPTED_FACTOR:
         return True
-    if now < call.patient_until(PATIENT_SHARE):
+    if now < call.compute_wait_end(BETTER_SERVER_WAIT_SHARE):
         return False
     routed = call.routed
     finish = now + factor * call.work
     target = routed.route.target or routed.route.timeout
     if finish + CALLER_NETWORK_SECONDS <= call.arrived + target:
         return True
-    time = routed.deadline - call.arrived
+    time_limit = routed.deadline - call.arrived
     return (
-        now >= call.arrived + LATE_SHARE * time
+        now >= call.arrived + LATE_ANSWER_WAIT_SHARE * time_limit
         and finish + CALLER_NETWORK_SECONDS <= routed.deadline
     )
 
@@ -103,7 +103,7 @@
     return sum(reports) / len(reports) if reports else 1.0
 
 
-def weigh_detours(state: ServerState, now: float, *, zone: str) -> float:
+def find_penalty_factor(state: ServerState, now: float, *, zone: str) -> float:
     """Weigh what a choice costs besides its time: bytes between zones, and failures.
 
     :param zone: availability zone of this daemon
@@ -112,7 +112,7 @@
     return weight * OTHER_ZONE_FACTOR if zone and state.server.zone != zone else weight
 
 
-def estimate_factor(state: ServerState, now: float, *, usual: float) -> float:
+def estimate_time_factor(state: ServerState, now: float, *, usual: float) -> float:
     """Estimate how many times longer than usual an answer takes.
 
     :param usual: mean slowdown over the pool
@@ -121,7 +121,7 @@
     slots = state.server.slots
     factor = state.view.estimate_slowdown(now, usual) * state.view.estimate_pace(now)
     factor *= 1.0 + LOAD_COST * load / slots
-    if load + 1 > CALM_SHARE * slots:
+    if load + 1 > FULL_SPEED_SHARE * slots:
         factor *= CROWDED_FACTOR
     if load >= slots:
         factor *= 1.0 + (load - slots + 1) / slots
--- a/packages/dotterelgate-core/src/dotterelgate_core/granting.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/granting.py
@@ -27,7 +27,7 @@
 __all__ = ["GrantingState", "make_granting_filter", "make_reply_filter"]
 
 # A grant whose answer was lost is given again to the same question for so long.
-REMEMBERED_SECONDS = 1.0
+GRANT_REPEAT_SECONDS = 1.0
 
 
 @dataclass(kw_only=True, slots=True)
@@ -45,12 +45,12 @@
 
     def grant(message: Message) -> Iterable[Message]:
         if isinstance(message, SlotRequested):
-            return _take_question(state, granting, message)
+            return _handle_request(state, granting, message)
         if isinstance(message, SlotWithdrawn):
             _withdraw(state, granting, message.call_id)
             return ()
         if isinstance(message, Ticked):
-            _forget_old(granting, message.now)
+            _drop_old_grants(granting, message.now)
         return (message,)
 
     return grant
@@ -82,43 +82,43 @@
     ]
 
 
-def _take_question(
-    state: DaemonState, granting: GrantingState, asked: SlotRequested
+def _handle_request(
+    state: DaemonState, granting: GrantingState, requested: SlotRequested
 ) -> list[Message]:
-    request = asked.request
-    known = granting.granted.get(request.call_id)
-    if known is not None and known[1].grant.server not in request.avoided:
-        return [known[1]]
+    request = requested.request
+    previous = granting.granted.get(request.call_id)
+    if previous is not None and previous[1].grant.server not in request.avoided:
+        return [previous[1]]
     granting.granted.pop(request.call_id, None)
     if request.call_id in state.calls.states:
-        return [QueueSlot(requester=asked.requester, call_id=request.call_id)]
+        return [QueueSlot(requester=requested.requester, call_id=request.call_id)]
     found = _find_route(state, request)
     if found is None:
         reason = f"the owner knows no route {request.route} of {request.service}"
         refusal = Refusal(codes.NO_CONFIGURATION, reason)
-        return [DenySlot(requester=asked.requester, call_id=request.call_id, refusal=refusal)]
+        return [DenySlot(requester=requested.requester, call_id=request.call_id, refusal=refusal)]
     service, route = found
     routed = CallRouted(
-        now=asked.now,
-        wall=asked.wall,
+        now=requested.now,
+        wall=requested.wall,
         call=Call(id=request.call_id, method="", host="", path="", request_id=request.request_id),
         service=service,
         route=route,
-        deadline=asked.now + request.remaining,
+        deadline=requested.now + request.remaining,
     )
-    _add_call(state, asked, routed)
+    _add_call(state, requested, routed)
     return [routed]
 
 
-def _add_call(state: DaemonState, asked: SlotRequested, routed: CallRouted) -> None:
-    request = asked.request
+def _add_call(state: DaemonState, requested: SlotRequested, routed: CallRouted) -> None:
+    request = requested.request
     call_state = state.calls.add(routed)
-    call_state.requester = asked.requester
-    call_state.arrived = asked.now - request.waited
+    call_state.requester = requested.requester
+    call_state.arrived = requested.now - request.waited
     call_state.work = request.work
     call_state.attempts = request.attempt
     call_state.avoided = set(request.avoided)
-    state.times.routed_at[request.service] = asked.now
+    state.times.routed_at[request.service] = requested.now
 
 
 def _find_route(state: DaemonState, request: SlotRequest) -> tuple[Service, Route] | None:
@@ -141,10 +141,10 @@
         del state.calls.states[call_id]
 
 
-def _forget_old(granting: GrantingState, now: float) -> None:
+def _drop_old_grants(granting: GrantingState, now: float) -> None:
     # Grants stand in the order in which they were given.
     while granting.granted:
-        call_id, (at, _) = next(iter(granting.granted.items()))
-        if now - at <= REMEMBERED_SECONDS:
+        call_id, (granted_at, _) = next(iter(granting.granted.items()))
+        if now - granted_at <= GRANT_REPEAT_SECONDS:
             return
         del granting.granted[call_id]
--- a/packages/dotterelgate-core/src/dotterelgate_core/learning.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/learning.py
@@ -42,7 +42,7 @@
         view.untold_failure = True
         return
     routed = call_state.routed
-    slowdown = max(1.0, call_state.expected, load.slowdown if load is not None else 1.0)
+    slowdown = max(1.0, call_state.expected_slowdown, load.slowdown if load is not None else 1.0)
     usual = state.times.estimate(routed.service, routed.route)
     state.times.learn(routed.service, routed.route, seconds / slowdown)
     view.untold_pace = seconds / slowdown / usual
--- a/packages/dotterelgate-core/src/dotterelgate_core/owners.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/owners.py
@@ -15,9 +15,9 @@
 __all__ = ["OwnerTable", "find_owner", "is_granted", "list_owners", "select_listeners"]
 
 # The owner, and the daemon that follows it when it fails.
-OWNERS = 2
+OWNER_COUNT = 2
 # Ranks are worked out again this often.
-RANK_SECONDS = 0.2
+RANKING_INTERVAL_SECONDS = 0.2
 # An owner that left questions unanswered is passed over for so long; heartbeats tell
 # within 1.2 s whether it is gone.
 SUSPICION_SECONDS = 1.0
@@ -27,12 +27,12 @@
 class OwnerTable:
     """Ranks of the daemons for each service and zone.
 
-    :param ranks: names by service and zone, the owner first
-    :param ranked_at: monotonic second of each rank
+    :param rankings: names by service and zone, the owner first
+    :param ranked_at: monotonic second of each ranking
     :param suspected_until: monotonic second until which a daemon is passed over
     """
 
-    ranks: dict[tuple[str, str], list[str]] = field(default_factory=dict)
+    rankings: dict[tuple[str, str], list[str]] = field(default_factory=dict)
     ranked_at: dict[tuple[str, str], float] = field(default_factory=dict)
     suspected_until: dict[str, float] = field(default_factory=dict)
 
@@ -45,13 +45,13 @@
     """Name the owner of a service's queue in a zone, and the one that follows it."""
     table = state.owners
     key = (service, zone)
-    if now - table.ranked_at.get(key, float("-inf")) >= RANK_SECONDS:
-        table.ranks[key] = rank_by_rendezvous(service, _select_deciding(state, now, zone))
+    if now - table.ranked_at.get(key, float("-inf")) >= RANKING_INTERVAL_SECONDS:
+        table.rankings[key] = rank_by_rendezvous(service, _select_deciding(state, now, zone))
         table.ranked_at[key] = now
-    rank = table.ranks[key]
+    ranking = table.rankings[key]
     if not table.suspected_until:
-        return rank[:OWNERS]
-    return [name for name in rank if table.suspected_until.get(name, now) <= now][:OWNERS]
+        return ranking[:OWNER_COUNT]
+    return [name for name in ranking if table.suspected_until.get(name, now) <= now][:OWNER_COUNT]
 
 
 def _select_deciding(state: DaemonState, now: float, zone: str) -> list[str]:
--- a/packages/dotterelgate-core/src/dotterelgate_core/owning.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/owning.py
@@ -23,12 +23,12 @@
     def own(message: Message) -> Iterable[Message]:
         if not isinstance(message, CallRouted):
             return (message,)
-        if not policies[message.service.policy].owned or not _may_leave(state, message):
+        if not policies[message.service.policy].owned or not _may_forward(state, message):
             return (message,)
         owner = find_owner(state, message.service.name)
         if owner == state.name:
             return (message,)
-        return _hand_over(state, message, owner)
+        return _forward_call(state, message, owner)
 
     return own
 
@@ -41,14 +41,14 @@
     return rank_by_rendezvous(service, usable)[0]
 
 
-def _may_leave(state: DaemonState, routed: CallRouted) -> bool:
+def _may_forward(state: DaemonState, routed: CallRouted) -> bool:
     call = routed.call
     if call.streamed or call.purpose is Purpose.OWN:
         return False
     return not state.calls.states[call.id].must_stay_local
 
 
-def _hand_over(state: DaemonState, routed: CallRouted, owner: str) -> list[Message]:
+def _forward_call(state: DaemonState, routed: CallRouted, owner: str) -> list[Message]:
     call_state = state.calls.states[routed.call.id]
     call_state.peer = owner
     return [
--- a/packages/dotterelgate-core/src/dotterelgate_core/policies.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/policies.py
@@ -64,8 +64,10 @@
         ),
         Policy(name="owner_queue", owned=True, late=True, choose=choose_fastest),
         Policy(name="local_queue", owned=False, late=True, choose=choose_fastest),
-        Policy(name="least_in_flight", owned=False, late=False, choose=make_least(random)),
-        Policy(name="least_reported", owned=False, late=False, choose=make_reported(random)),
+        Policy(
+            name="least_in_flight", owned=False, late=False, choose=make_least_in_flight(random)
+        ),
+        Policy(name="least_reported", owned=False, late=False, choose=make_least_reported(random)),
         Policy(name="two_choices", owned=False, late=False, choose=make_two_choices(random)),
         Policy(name="round_robin", owned=False, late=False, choose=make_round_robin()),
         Policy(name="random", owned=False, late=False, choose=make_random(random)),
@@ -91,7 +93,7 @@
     return choose
 
 
-def make_least(random: Random) -> Choose:
+def make_least_in_flight(random: Random) -> Choose:
     """Make the choice of the fewest own requests in flight, ties at random."""
 
     def choose(states: Sequence[ServerState], *_: object) -> ServerState:
@@ -101,7 +103,7 @@
     return choose
 
 
-def make_reported(random: Random) -> Choose:
+def make_least_reported(random: Random) -> Choose:
     """Make the choice of the fewest requests by the servers' own last reports."""
 
     def count(state: ServerState) -> int:
--- a/packages/dotterelgate-core/src/dotterelgate_core/queues.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/queues.py
@@ -13,12 +13,12 @@
 
 __all__ = ["ServiceQueue", "WaitingTable"]
 
-SMOOTHING = 0.05
-TYPICAL_SMOOTHING = 0.02
+SLOT_TIME_WEIGHT = 0.05
+TYPICAL_TIME_WEIGHT = 0.02
 STRAGGLER_FACTOR = 3.0
 
 
-def _make_lines() -> dict[Priority, deque[int]]:
+def _make_subqueues() -> dict[Priority, deque[int]]:
     return {priority: deque() for priority in Priority}
 
 
@@ -34,34 +34,34 @@
     :param typical_time: the same per request with stragglers cut
     """
 
-    short: dict[Priority, deque[int]] = field(default_factory=_make_lines)
-    long: dict[Priority, deque[int]] = field(default_factory=_make_lines)
+    short: dict[Priority, deque[int]] = field(default_factory=_make_subqueues)
+    long: dict[Priority, deque[int]] = field(default_factory=_make_subqueues)
     long_in_flight: int = 0
     short_time: float = 0.0
     long_time: float = 0.0
     typical_time: float = 0.0
 
     def add(self, state: CallState) -> None:
-        """Put a call at the end of its line."""
-        lines = self.long if state.routed.route.long else self.short
-        lines[state.routed.route.priority].append(state.call.id)
+        """Put a call at the end of its subqueue."""
+        subqueues = self.long if state.routed.route.long else self.short
+        subqueues[state.routed.route.priority].append(state.call.id)
         state.queued = True
 
     def add_first(self, state: CallState) -> None:
-        """Put a call that is retried at the head of its line."""
-        lines = self.long if state.routed.route.long else self.short
-        lines[state.routed.route.priority].appendleft(state.call.id)
+        """Put a call that is retried at the head of its subqueue."""
+        subqueues = self.long if state.routed.route.long else self.short
+        subqueues[state.routed.route.priority].appendleft(state.call.id)
         state.queued = True
 
     def count_ahead(self, priority: Priority, *, long: bool) -> int:
         """Count the waiting requests that would get a slot earlier."""
-        lines = self.long if long else self.short
-        return sum(len(line) for each, line in lines.items() if each <= priority)
+        subqueues = self.long if long else self.short
+        return sum(len(subqueue) for each, subqueue in subqueues.items() if each <= priority)
 
     def note_time(self, seconds: float, *, long: bool) -> None:
         """Learn how long a request held its slot."""
         before = self.long_time if long else self.short_time
-        weight = SMOOTHING if before else 1.0
+        weight = SLOT_TIME_WEIGHT if before else 1.0
         after = before + weight * (seconds - before)
         if long:
             self.long_time = after
@@ -75,34 +75,37 @@
         """
         if not self.typical_time:
             self.typical_time = seconds
-        cut = min(seconds, STRAGGLER_FACTOR * self.typical_time)
-        self.typical_time += TYPICAL_SMOOTHING * (cut - self.typical_time)
-        return cut
+        capped = min(seconds, STRAGGLER_FACTOR * self.typical_time)
+        self.typical_time += TYPICAL_TIME_WEIGHT * (capped - self.typical_time)
+        return capped
 
     def estimate_wait(self, priority: Priority, *, long: bool, slots: int) -> float:
         """Estimate the seconds until a request that comes now gets a slot."""
         ahead = self.count_ahead(priority, long=long)
-        each = self.long_time if long else self.short_time
-        return ahead * each / max(slots, 1)
+        seconds_each = self.long_time if long else self.short_time
+        return ahead * seconds_each / max(slots, 1)
 
-    def list_lines(self, *, long_allowed: bool) -> list[deque[int]]:
-        """List the lines to serve, the most urgent first."""
-        lines = []
+    def list_subqueues(self, *, long_allowed: bool) -> list[deque[int]]:
+        """List the subqueues to serve, the most urgent first."""
+        subqueues = []
         for priority in Priority:
-            lines.append(self.short[priority])
+            subqueues.append(self.short[priority])
             if long_allowed:
-                lines.append(self.long[priority])
-        return lines
+                subqueues.append(self.long[priority])
+        return subqueues
 
     def list_waiting(self) -> list[int]:
         """List the ids of all waiting calls; some may have ended already."""
         return [
-            each for lines in (self.short, self.long) for line in lines.values() for each in line
+            each
+            for kind in (self.short, self.long)
+            for subqueue in kind.values()
+            for each in subqueue
         ]
 
     def count_waiting(self) -> int:
         """Count all waiting requests."""
-        return sum(len(line) for lines in (self.short, self.long) for line in lines.values())
+        return sum(len(subqueue) for kind in (self.short, self.long) for subqueue in kind.values())
 
 
 @dataclass(kw_only=True, slots=True)
--- a/packages/dotterelgate-core/src/dotterelgate_core/retry_after.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/retry_after.py
@@ -10,7 +10,7 @@
 __all__ = ["choose_retry_after"]
 
 # A caller that comes back later than this share of its time has too little left.
-LEFT_SHARE = 0.3
+REMAINING_SHARE = 0.3
 # Waits are spread between this share and the whole, so that callers who were
 # refused together do not return together.
 SPREAD_FROM = 0.4
@@ -22,6 +22,6 @@
 
     :returns: at most a share of the time that the caller has left
     """
-    left = max(0.0, call_state.routed.deadline - now)
+    remaining = max(0.0, call_state.routed.deadline - now)
     step = (call_state.call.id % SPREAD_STEPS) / (SPREAD_STEPS - 1)
-    return LEFT_SHARE * left * (SPREAD_FROM + (1.0 - SPREAD_FROM) * step)
+    return REMAINING_SHARE * remaining * (SPREAD_FROM + (1.0 - SPREAD_FROM) * step)
--- a/packages/dotterelgate-core/src/dotterelgate_core/settling.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/settling.py
@@ -40,7 +40,7 @@
 
 
 # Connections that may fail before the backend server reads anything of a request.
-UNSENT_LIMIT = 3
+UNSENT_ATTEMPTS_LIMIT = 3
 
 
 def make_settling_filter(state: DaemonState) -> Filter:
@@ -56,7 +56,7 @@
         if isinstance(message, PeerFailed):
             return _settle_peer_failure(state, message)
         if isinstance(message, CallerDisconnected):
-            return _settle_caller_left(state, message)
+            return _settle_disconnect(state, message)
         if isinstance(message, Ticked):
             return [*_settle_deadlines(state, message.now), message]
         return (message,)
@@ -67,16 +67,16 @@
 def _settle_answer(state: DaemonState, message: ServerAnswered) -> list[Message]:
     call_state = state.calls.states[message.call_id]
     if message.ran:
-        if _is_worth_repeating(call_state, message) and _may_retry(state, call_state, message.now):
+        if _is_retryable_answer(call_state, message) and _may_retry(state, call_state, message.now):
             call_state.may_have_run = True
             sentence = f"{message.server} answered {message.status}"
-            return _try_again(call_state, message.now, sentence, message.server)
-        return _pass_on(message.now, message.call_id, message.server, message.stored_answer)
+            return _retry_call(call_state, message.now, sentence, message.server)
+        return _relay(message.now, message.call_id, message.server, message.stored_answer)
     refusal = Refusal(codes.SHED, f"{message.server} said that it did not run the request")
     return _retry_or_refuse(state, call_state, message.now, refusal, message.server)
 
 
-def _pass_on(now: float, call_id: int, source: str, stored_answer: object | None) -> list[Message]:
+def _relay(now: float, call_id: int, source: str, stored_answer: object | None) -> list[Message]:
     return [
         CallSettled(now=now, call_id=call_id, refusal=None, ran=True, stored_answer=stored_answer),
         Relay(call_id=call_id, source=source),
@@ -86,17 +86,17 @@
 def _settle_failure(state: DaemonState, message: DispatchFailed) -> list[Message]:
     call_state = state.calls.states[message.call_id]
     if message.relay_started:
-        return _end(message.now, message.call_id, message.refusal, ran=None)
+        return _refuse(message.now, message.call_id, message.refusal, ran=None)
     may_have_run = message.sent and not call_state.routed.route.idempotent
     if may_have_run:
-        return _end(message.now, message.call_id, message.refusal, ran=None)
+        return _refuse(message.now, message.call_id, message.refusal, ran=None)
     if message.sent:
         call_state.may_have_run = True
         return _retry_or_refuse(state, call_state, message.now, message.refusal, message.server)
     return _settle_unsent(state, call_state, message)
 
 
-def _is_worth_repeating(call_state: CallState, message: ServerAnswered) -> bool:
+def _is_retryable_answer(call_state: CallState, message: ServerAnswered) -> bool:
     failed = message.status >= FIRST_FAILURE_STATUS and message.stored_answer is not None
     return failed and call_state.routed.route.idempotent
 
@@ -106,16 +106,16 @@
 ) -> list[Message]:
     """Choose again where nothing was sent; the backend server knows of no attempt."""
     refusal = Refusal(codes.CONNECT_FAILED, message.refusal.reason)
-    if call_state.unsent >= UNSENT_LIMIT or call_state.attempts > 1:
+    if call_state.unsent_attempts >= UNSENT_ATTEMPTS_LIMIT or call_state.attempts > 1:
         return _retry_or_refuse(state, call_state, message.now, refusal, message.server)
-    if call_state.caller_disconnected or not _has_another(state, call_state, message):
+    if call_state.caller_disconnected or not _has_untried_server(state, call_state, message):
         return _retry_or_refuse(state, call_state, message.now, refusal, message.server)
-    call_state.unsent += 1
+    call_state.unsent_attempts += 1
     call_state.attempts -= 1
-    return _try_again(call_state, message.now, refusal.reason, message.server)
+    return _retry_call(call_state, message.now, refusal.reason, message.server)
 
 
-def _has_another(state: DaemonState, call_state: CallState, message: DispatchFailed) -> bool:
+def _has_untried_server(state: DaemonState, call_state: CallState, message: DispatchFailed) -> bool:
     if message.now >= call_state.routed.deadline:
         return False
     pool = state.servers.by_service.get(call_state.routed.service.name, [])
@@ -134,11 +134,11 @@
         ran = False if refusal.code.outcome is codes.Outcome.NOT_RUN else None
         if ran is False:
             refusal = replace(refusal, retry_after=choose_retry_after(call_state, now))
-        return _end(now, call_state.call.id, refusal, ran=ran)
-    return _try_again(call_state, now, refusal.reason, server)
+        return _refuse(now, call_state.call.id, refusal, ran=ran)
+    return _retry_call(call_state, now, refusal.reason, server)
 
 
-def _try_again(call_state: CallState, now: float, reason: str, server: str) -> list[Message]:
+def _retry_call(call_state: CallState, now: float, reason: str, server: str) -> list[Message]:
     call_state.avoided.add(server)
     decision = Decision(
         part="settling",
@@ -170,13 +170,13 @@
     call_state.peer = None
     refusal = message.refusal
     if refusal is None:
-        return _pass_on(message.now, message.call_id, message.peer, message.stored_answer)
+        return _relay(message.now, message.call_id, message.peer, message.stored_answer)
     if refusal.code is codes.NO_HOLDER and call_state.call.purpose is None:
         return [CallParked(now=message.now, call_id=message.call_id)]
     if refusal.code is codes.STOPPING:
-        return _place_here(call_state, message.now)
+        return _handle_locally(call_state, message.now)
     ran = False if refusal.code.outcome is codes.Outcome.NOT_RUN else None
-    return _end(message.now, message.call_id, refusal, ran=ran)
+    return _refuse(message.now, message.call_id, refusal, ran=ran)
 
 
 def _settle_peer_failure(state: DaemonState, message: PeerFailed) -> list[Message]:
@@ -190,18 +190,18 @@
         return _settle_holder_failure(message, call_state)
     if message.relay_started or (message.sent and not call_state.routed.route.idempotent):
         refusal = Refusal(codes.PEER_LOST, f"{message.peer} stopped answering")
-        return _end(message.now, message.call_id, refusal, ran=None)
-    return _place_here(call_state, message.now)
+        return _refuse(message.now, message.call_id, refusal, ran=None)
+    return _handle_locally(call_state, message.now)
 
 
 def _settle_holder_failure(message: PeerFailed, call_state: CallState) -> list[Message]:
     if not message.sent:
         return [CallParked(now=message.now, call_id=message.call_id)]
     refusal = Refusal(codes.HOLDER_SILENT, f"{message.peer} holds the key and is silent")
-    return _end(message.now, message.call_id, refusal, ran=None)
+    return _refuse(message.now, message.call_id, refusal, ran=None)
 
 
-def _place_here(call_state: CallState, now: float) -> list[Message]:
+def _handle_locally(call_state: CallState, now: float) -> list[Message]:
     call_state.must_stay_local = True
     decision = Decision(
         part="settling",
@@ -212,7 +212,7 @@
     return [replace(call_state.routed, now=now), decision]
 
 
-def _settle_caller_left(state: DaemonState, message: CallerDisconnected) -> list[Message]:
+def _settle_disconnect(state: DaemonState, message: CallerDisconnected) -> list[Message]:
     call_state = state.calls.states.get(message.call_id)
     if call_state is None:
         return []
@@ -222,7 +222,7 @@
     if call_state.digest is not None:
         return []
     refusal = Refusal(codes.CALLER_GONE, "the caller closed its connection")
-    return _give_up(state, call_state, message.now, refusal)
+    return _cancel_call(state, call_state, message.now, refusal)
 
 
 def _settle_deadlines(state: DaemonState, now: float) -> list[Message]:
@@ -238,13 +238,13 @@
         # It must not get a slot that is freed at the same moment.
         call_state.queued = False
         refusal = Refusal(codes.DEADLINE_PASSED, "the time limit passed while waiting")
-        return _end(now, call_state.call.id, _limit_to_attempt(call_state, refusal), ran=False)
+        return _refuse(now, call_state.call.id, _limit_to_attempt(call_state, refusal), ran=False)
     refusal = Refusal(codes.DEADLINE_EXCEEDED, "the time limit passed after dispatch")
     if call_state.digest is not None:
         # The run goes on so that a repeat of the key can be told its answer.
         call_state.caller_disconnected = True
         return [RefuseCall(call_id=call_state.call.id, refusal=refusal, awaits_answer=True)]
-    return _give_up(state, call_state, now, refusal)
+    return _cancel_call(state, call_state, now, refusal)
 
 
 def _limit_to_attempt(call_state: CallState, refusal: Refusal) -> Refusal:
@@ -253,7 +253,7 @@
     return Refusal(codes.NO_HOLDER, refusal.reason)
 
 
-def _give_up(
+def _cancel_call(
     state: DaemonState, call_state: CallState, now: float, refusal: Refusal
 ) -> list[Message]:
     call_id = call_state.call.id
@@ -268,7 +268,7 @@
     return [*messages, CallSettled(now=now, call_id=call_id, refusal=refusal, ran=ran)]
 
 
-def _end(now: float, call_id: int, refusal: Refusal, *, ran: bool | None) -> list[Message]:
+def _refuse(now: float, call_id: int, refusal: Refusal, *, ran: bool | None) -> list[Message]:
     return [CallSettled(now=now, call_id=call_id, refusal=refusal, ran=ran)]
 
 
--- a/packages/dotterelgate-core/src/dotterelgate_core/splits.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/splits.py
@@ -31,8 +31,8 @@
         """Choose the service that the next request of a split route goes to."""
         credits = self._credits.get(route)
         if credits is None:
-            self._drop_older(route)
-            credits = self._credits[route] = self._start(route)
+            self._drop_previous(route)
+            credits = self._credits[route] = self._make_credits(route)
         total = sum(part.weight for part in route.split)
         for part in route.split:
             credits[part.service] += part.weight / total
@@ -40,12 +40,12 @@
         credits[chosen] -= 1.0
         return chosen
 
-    def _start(self, route: Route) -> dict[str, float]:
+    def _make_credits(self, route: Route) -> dict[str, float]:
         if self.random is None:
             return {part.service: 0.0 for part in route.split}
         return {part.service: self.random.random() - 0.5 for part in route.split}
 
-    def _drop_older(self, route: Route) -> None:
-        older = [each for each in self._credits if each.name == route.name]
-        for each in older:
+    def _drop_previous(self, route: Route) -> None:
+        previous = [each for each in self._credits if each.name == route.name]
+        for each in previous:
             del self._credits[each]
--- a/packages/dotterelgate-core/src/dotterelgate_core/work_times.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/work_times.py
@@ -13,9 +13,9 @@
 # Operators set the target at three to four times the usual work.
 TARGET_SHARE = 0.3
 # Weight of one answer; the first guess weighs as much as this many answers.
-WEIGHT = 0.1
+ANSWER_WEIGHT = 0.1
 # Longer answers say little of the usual time: one in thirty runs seven times as long.
-CUT_FACTOR = 3.0
+CAP_FACTOR = 3.0
 
 
 @dataclass(kw_only=True, slots=True)
@@ -30,15 +30,15 @@
 
     def estimate(self, service: Service, route: Route) -> float:
         """Estimate the seconds that a request of a route takes."""
-        known = self._seconds.get((service.name, route.name or route.prefix))
-        return known if known is not None else _guess(route)
+        learned = self._seconds.get((service.name, route.name or route.prefix))
+        return learned if learned is not None else _guess_seconds(route)
 
     def learn(self, service: Service, route: Route, seconds: float) -> None:
         """Learn from an answer's time, divided by the slowdown it met."""
         key = (service.name, route.name or route.prefix)
-        before = self._seconds.get(key, _guess(route))
-        self._seconds[key] = before + WEIGHT * (min(seconds, CUT_FACTOR * before) - before)
+        before = self._seconds.get(key, _guess_seconds(route))
+        self._seconds[key] = before + ANSWER_WEIGHT * (min(seconds, CAP_FACTOR * before) - before)
 
 
-def _guess(route: Route) -> float:
+def _guess_seconds(route: Route) -> float:
     return TARGET_SHARE * (route.target or route.timeout)
