--- a/packages/dotterelgate-core/src/dotterelgate_core/admission.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/admission.py
@@ -1,4 +1,4 @@
-"""Filter that refuses early what would wait too long, and queues the rest."""
+"""Filter that refuses calls whose wait would be too long, and queues the others."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 __all__ = ["make_admission_filter", "note_admitted"]
 
-# Share of its time that a request may wait where daemons share their view of the
-# load; later it is refused, so that its caller can still come back in time.
+# Share of its time limit that a request may wait where daemons share their view of
+# the load; it is then refused while its caller still has time to retry.
 WAIT_SHARE = 0.25
 
 
 def make_admission_filter(state: DaemonState, policies: Mapping[str, Policy]) -> Filter:
-    """Make the filter from routed calls to waiting ones, and from ticks to refusals."""
+    """Build the filter that queues or refuses routed calls and refuses overdue ones on ticks."""
 
     def admit(message: Message) -> Iterable[Message]:
         if isinstance(message, Ticked):
@@ -55,9 +55,9 @@
 
 
 def note_admitted(state: DaemonState, call_state: CallState) -> None:
-    """Note that a call may wait for a slot, here or at an owner.
+    """Mark a call as admitted to a queue, locally or at an owner.
 
-    What a call of another daemon earns and takes is that daemon's to say.
+    For a call of another daemon, that daemon keeps the retry budget and the work time.
     """
     call_state.admitted = True
     if call_state.requester is not None:
@@ -101,13 +101,13 @@
         slots = max(1, int(slots * routed.service.long_share))
     queue = state.waiting.find(routed.service.name)
     if policy.shared and not policy.granted:
-        # The daemons of the zone share the slots, and their queues are alike.
+        # The daemons of the zone share the slots and have similar queues.
         slots = max(1, slots // state.zone_daemons)
     return queue.estimate_wait(route.priority, long=route.long, slots=slots)
 
 
 def _compute_wait_limit(state: DaemonState, call_state: CallState) -> float:
-    """Limit the seconds that a call may wait before its dispatch."""
+    """Compute the seconds that a call may wait before its dispatch."""
     routed = call_state.routed
     time_limit = routed.deadline - call_state.arrived
     work = call_state.work or state.times.estimate(routed.service, routed.route)
@@ -120,7 +120,7 @@
     messages: list[Message] = []
     for service, queue in state.waiting.queues.items():
         messages.extend(_refuse_overdue_in_queue(state, policies, queue, now))
-        # What a call takes changes as it waits, also when no news come.
+        # The servers that a call accepts change as it waits, also without load updates.
         messages.extend(free_slots(state, (service,), now))
     return messages
 
--- a/packages/dotterelgate-core/src/dotterelgate_core/asking.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/asking.py
@@ -1,4 +1,4 @@
-"""Filter that asks the owner of a service's queue for a slot."""
+"""Filter that requests slots from the owner of a service's queue."""
 
 from __future__ import annotations
 
@@ -29,22 +29,22 @@
 
 __all__ = ["AskingState", "make_asking_filter"]
 
-# A question is repeated after so long; an answer takes a few milliseconds.
+# A request is repeated after this time; an answer takes a few milliseconds.
 REPEAT_SECONDS = 0.03
-# Questions left unanswered in a row after which the owner counts as lost.
+# Consecutive unanswered requests after which the owner counts as lost.
 UNANSWERED_LIMIT = 3
-# Owners asked for one call; then this daemon chooses by its own view.
+# Owners tried for one call; after that this daemon chooses by its own view.
 OWNERS_LIMIT = 2
-# A grant may name a backend server that this daemon knows to be leaving.
+# Grants of ineligible servers, such as leaving ones, after which an owner is passed over.
 UNUSABLE_GRANTS_LIMIT = 3
 
 
 @dataclass(kw_only=True, slots=True)
 class PendingRequest:
-    """One call that waits for an owner's answer.
+    """A call that waits for an owner's answer.
 
-    :param requested_at: monotonic second of the newest question
-    :param unanswered: questions since the owner's last answer
+    :param requested_at: monotonic second of the newest request
+    :param unanswered: requests since the owner's last answer
     :param unusable: grants that could not be used
     """
 
@@ -67,7 +67,7 @@
 def make_asking_filter(
     state: DaemonState, asking: AskingState, policies: Mapping[str, Policy]
 ) -> Filter:
-    """Make the filter from routed calls to questions, and from answers to dispatches."""
+    """Build the filter that turns routed calls into slot requests and grants into dispatches."""
 
     def request(message: Message) -> Iterable[Message]:
         orders: list[Message] = []
@@ -140,7 +140,7 @@
     call_state = state.calls.states.get(granted.call_id)
     name = granted.grant.server
     if pending is None or call_state is None or call_state.server is not None:
-        # The owner counts a request there that does not exist; the next news correct it.
+        # The owner counts a request that does not exist; the next load update corrects it.
         state.servers.changed.add(name)
         return []
     server = state.servers.states.get(name)
@@ -179,7 +179,7 @@
     if pending is None or call_state is None or call_state.server is not None:
         return []
     if denied.refusal.code in (codes.NO_CONFIGURATION, codes.NO_SERVER):
-        # This daemon knows of a route and of backend servers; the owner lags behind.
+        # This daemon has a route and backend servers; the owner has older data.
         return _skip_owner(asking, call_state, denied.now, denied.refusal.reason)
     del asking.requests[denied.call_id]
     call_state.queued = False
@@ -224,7 +224,7 @@
 def _skip_owner(
     asking: AskingState, call_state: CallState, now: float, reason: str
 ) -> list[Message]:
-    """Try the next owner, or choose here once enough were tried."""
+    """Try the next owner, or choose locally after ``OWNERS_LIMIT`` owners."""
     call_id = call_state.call.id
     pending = asking.requests.pop(call_id)
     call_state.failed_owners += 1
--- a/packages/dotterelgate-core/src/dotterelgate_core/binding.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/binding.py
@@ -1,4 +1,4 @@
-"""Filter that gives waiting calls a backend server."""
+"""Filter that assigns queued calls to free slots of backend servers."""
 
 from __future__ import annotations
 
@@ -20,11 +20,12 @@
 
 __all__ = ["dispatch_call", "make_binding_filter"]
 
+# Time past the deadline to await a keyed call's answer, so that a retry can receive it.
 FENCED_GRACE_SECONDS = 10.0
 
 
 def make_binding_filter(state: DaemonState, policies: Mapping[str, Policy]) -> Filter:
-    """Make the filter from freed slots to dispatches."""
+    """Build the filter that turns freed slots into dispatches and grants."""
 
     def bind(message: Message) -> Iterable[Message]:
         if not isinstance(message, SlotFreed):
@@ -87,10 +88,7 @@
 
 
 def _choose_call(state: DaemonState, subqueue: deque[int], now: float) -> CallState:
-    """Choose the oldest call that can still be answered within its target, if any.
-
-    Those that cannot get the slots that are left over, oldest first.
-    """
+    """Choose the oldest call that can still reach its target, or else the oldest."""
     first: CallState | None = None
     for call_id in subqueue:
         call_state = state.calls.states.get(call_id)
@@ -123,12 +121,12 @@
 
 
 def _grant(call_state: CallState, chosen: ServerState, now: float) -> list[Message]:
-    """Give a slot to a call of another daemon, which dispatches it."""
+    """Grant a slot to a call of another daemon, which dispatches it."""
     assert call_state.requester is not None
     call_state.queued = False
     call_state.sent_at = now
     sentence = _describe_choice(chosen)
-    # The asker's next news say the same; until then the slot must not be given twice.
+    # Counted until the requester's next load update, so that the slot is not granted twice.
     chosen.view.add_peer_request(call_state.requester, now)
     report = chosen.view.report
     grant = SlotGrant(
@@ -162,9 +160,9 @@
     now: float,
     facts: dict[str, object],
 ) -> list[Message]:
-    """Send a call of this daemon to a backend server.
+    """Dispatch a call of this daemon to a backend server.
 
-    :param facts: what the backend server was chosen by, for the log
+    :param facts: the basis of the choice, for the log
     """
     routed = call_state.routed
     state.servers.changed.add(chosen.server.name)
@@ -217,7 +215,7 @@
 
 
 def is_fenced(call_state: CallState) -> bool:
-    """Tell whether the call runs under a key that some daemon holds."""
+    """Return whether the call runs under a key that some daemon holds."""
     return call_state.digest is not None or call_state.call.fence is not None
 
 
--- a/packages/dotterelgate-core/src/dotterelgate_core/calls.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/calls.py
@@ -11,9 +11,9 @@
 
 __all__ = ["CALLER_NETWORK_SECONDS", "CallState", "CallTable"]
 
-# Time on the way from and to the caller, which the target includes.
+# Network round trip between caller and daemon, which the target includes.
 CALLER_NETWORK_SECONDS = 0.016
-# Slowdown that a call of usual luck meets: one of several requests at a backend server.
+# Typical slowdown of a call that shares its backend server with other requests.
 EXPECTED_SLOWDOWN = 1.5
 
 
@@ -24,23 +24,23 @@
     :param routed: the call with its route and time limit
     :param server: backend server that it was sent to
     :param sent_at: monotonic second of that dispatch
-    :param peer: peer that it was handed to
+    :param peer: peer that it was forwarded to
     :param attempts: dispatches so far
     :param avoided: backend servers that failed it
     :param digest: digest of the key that this daemon holds for it
     :param fence: wall-clock second after which it must not start
-    :param must_stay_local: whether it must not be handed to an owner
-    :param caller_disconnected: whether nobody waits for the answer any more
+    :param must_stay_local: whether it must not be forwarded to an owner
+    :param caller_disconnected: whether nobody waits for the answer
     :param queued: whether it waits for a slot
     :param joined: whether it waits for the answer to another call with its key
     :param arrived: monotonic second at which it was routed first
-    :param expected_slowdown: slowdown that its dispatch was expected to meet
+    :param expected_slowdown: slowdown expected at its dispatch
     :param unsent_attempts: dispatches of which nothing was sent
-    :param admitted: whether it was let into the queue
-    :param work: seconds that it is expected to take on a calm backend server
+    :param admitted: whether it was admitted to a queue
+    :param work: expected seconds on a backend server without slowdown
     :param may_have_run: whether an attempt ran, or may have
-    :param failed_owners: owners that were asked for a slot and passed over
-    :param requester: daemon of the zone that has the call and asks for a slot
+    :param failed_owners: number of owners passed over after a slot request
+    :param requester: daemon of the zone that has the call and requests a slot
     """
 
     routed: CallRouted
@@ -65,7 +65,7 @@
     failed_owners: int = 0
 
     def compute_wait_end(self, share: float) -> float:
-        """Tell until when it may wait for a better backend server.
+        """Compute until when it may wait for a better backend server.
 
         :param share: share of the target that it may wait
         :returns: a monotonic second
@@ -74,7 +74,7 @@
         return self.arrived + share * min(target, self.routed.deadline - self.arrived)
 
     def can_reach_target(self, now: float) -> bool:
-        """Tell whether an answer within the target can be expected if it is sent now."""
+        """Return whether a dispatch now is expected to be answered within the target."""
         target = self.routed.route.target or self.routed.route.timeout
         return now + EXPECTED_SLOWDOWN * self.work + CALLER_NETWORK_SECONDS <= self.arrived + target
 
@@ -92,14 +92,14 @@
     deadlines: list[tuple[float, int]] = field(default_factory=list)
 
     def add(self, routed: CallRouted) -> CallState:
-        """Add a call that was just routed."""
+        """Add a newly routed call."""
         state = CallState(routed=routed, arrived=routed.now)
         self.states[routed.call.id] = state
         heapq.heappush(self.deadlines, (routed.deadline, routed.call.id))
         return state
 
     def pop_due(self, now: float) -> list[CallState]:
-        """Take out the calls whose time limit passed; they stay in ``states``."""
+        """Return the calls whose time limit passed, each once; they stay in ``states``."""
         due = []
         while self.deadlines and self.deadlines[0][0] <= now:
             _, call_id = heapq.heappop(self.deadlines)
--- a/packages/dotterelgate-core/src/dotterelgate_core/codes.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/codes.py
@@ -1,4 +1,4 @@
-"""Numbered result codes and the sentinel that carries one."""
+"""Numbered result codes and the refusals that carry them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Outcome(str, Enum):
-    """What is known of whether a request ran on a backend server."""
+    """Whether a request ran on a backend server, as far as the daemon can tell."""
 
     RAN = "ran"
     NOT_RUN = "not-run"
@@ -37,12 +37,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """Sentinel value that stands for an answer the system gives itself.
+    """An answer that a daemon gives itself instead of a backend server's.
 
     :param code: the result code
     :param reason: short sentence for the log and the caller
-    :param outcome_override: narrower outcome where the code's own would say too much
-    :param retry_after: seconds after which the caller should come back, if it should
+    :param outcome_override: weaker outcome where that of the code would claim too much
+    :param retry_after: seconds after which the caller should retry, if it should
     """
 
     code: ResultCode
@@ -57,7 +57,7 @@
 
 
 def limit_to_attempt(refusal: Refusal) -> Refusal:
-    """Narrow "not run" to this attempt, where earlier ones are not known."""
+    """Limit "not run" to this attempt, where the outcome of earlier ones is unknown."""
     if refusal.outcome is not Outcome.NOT_RUN:
         return refusal
     return replace(refusal, outcome_override=Outcome.ATTEMPT_NOT_RUN)
--- a/packages/dotterelgate-core/src/dotterelgate_core/engine.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/engine.py
@@ -1,4 +1,4 @@
-"""The pipeline of one daemon's request decisions, put together."""
+"""Assembly of the pipeline that decides on requests."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     *,
     keyed: bool = True,
 ) -> Filter:
-    """Make the pipeline from what happens to a call to the orders for it.
+    """Build the pipeline that turns the events of calls into orders.
 
     It reads ``CallArrived``, ``CallerDisconnected``, ``ServerAnswered``, ``DispatchFailed``,
     ``PeerAnswered``, ``PeerFailed``, ``SlotFreed``, ``SlotRequested``, ``SlotGranted``,
@@ -49,7 +49,7 @@
 
     :param state: the daemon's state
     :param random: source of random choices between equal backend servers
-    :param extra_policies: policies besides those that a configuration may name
+    :param extra_policies: policies in addition to those that a configuration may name
     :param keyed: whether callers send idempotency keys and queues have owners; without
         them no lease is needed
     """
--- a/packages/dotterelgate-core/src/dotterelgate_core/expected_time.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/expected_time.py
@@ -16,41 +16,41 @@
 
 __all__ = ["estimate_time_factor", "find_penalty_factor", "make_expected_time_choice"]
 
-# Share of its slots up to which a backend server keeps its speed.
+# Share of its slots up to which a backend server runs at full speed.
 FULL_SPEED_SHARE = 0.8
-# Slowdown of one that is nearly full.
+# Slowdown of a backend server above that share.
 CROWDED_FACTOR = 1.6
-# Each request already there costs a little, also below the calm share.
+# Relative cost of a full load; each request costs its part, also at full speed.
 LOAD_COST = 0.15
-# An answer from another availability zone costs its way and its bytes.
+# An answer from another availability zone costs network delay and traffic.
 OTHER_ZONE_FACTOR = 1.5
-# Work right after a start takes this many times as long.
+# Slowdown of work right after the start of a backend server.
 COLD_FACTOR = 2.0
-# A failure costs about this many usual answers.
+# A failure costs about as much as this many usual answers.
 FAILURE_COST = 6.0
-# A call rather waits than takes a backend server slower than this, for a while.
+# A call waits for a while rather than use a backend server slower by more than this.
 ACCEPTED_FACTOR = 3.0
-# Share of its target that a call waits for a better backend server.
+# Share of its target for which a call waits for a better backend server.
 BETTER_SERVER_WAIT_SHARE = 0.15
-# Share of its time after which a call takes one that answers after the target, as
-# long as it answers in time.
+# Share of its time limit after which a call accepts an answer that is expected after
+# the target but before the deadline.
 LATE_ANSWER_WAIT_SHARE = 0.2
-# A new connection costs both sides some milliseconds.
+# A new connection costs both sides a few milliseconds.
 UNCONNECTED_FACTOR = 1.25
-# One that was not chosen for so long is worth a new connection, so that those that join
-# are used.
+# A backend server not chosen for this long gets no penalty for a new connection, so that
+# servers that join are used.
 UNUSED_SECONDS = 1.0
-# Choices closer than this share are taken in turn, so that daemons with the same
-# view do not all choose the same backend server.
+# Costs are varied at random by up to this share, so that daemons with the same view do
+# not all choose the same backend server.
 JITTER_SHARE = 0.05
 
 
 def make_expected_time_choice(
     random: Random, zone: str
 ) -> Callable[[Sequence[ServerState], CallState, float], ServerState | None]:
-    """Make the choice by the expected time, the own availability zone first.
+    """Build the choice by the expected time, which prefers the own availability zone.
 
-    :param random: source of the choice among nearly equal ones
+    :param random: source of the choice between nearly equal backend servers
     :param zone: availability zone of this daemon
     """
 
@@ -73,14 +73,14 @@
 
 
 def _is_connected(state: ServerState, call: CallState, now: float) -> bool:
-    """Tell whether the daemon that has the call likely has an idle connection there."""
+    """Return whether the daemon that has the call likely has an idle connection there."""
     if call.requester is not None:
         return state.view.is_connected(call.requester, now)
     return not state.in_flight and now - state.used_at < CONNECTED_SECONDS
 
 
 def _is_good_enough(call: CallState, factor: float, now: float) -> bool:
-    """Tell whether to take the best backend server now rather than wait for another."""
+    """Return whether to use the best backend server now rather than wait for another."""
     if factor <= ACCEPTED_FACTOR:
         return True
     if now < call.compute_wait_end(BETTER_SERVER_WAIT_SHARE):
@@ -98,13 +98,13 @@
 
 
 def find_usual_slowdown(states: Sequence[ServerState]) -> float:
-    """Find the mean slowdown that the backend servers reported last."""
+    """Compute the mean of the slowdowns that the backend servers last reported."""
     reports = [state.view.report.slowdown for state in states if state.view.report is not None]
     return sum(reports) / len(reports) if reports else 1.0
 
 
 def find_penalty_factor(state: ServerState, now: float, *, zone: str) -> float:
-    """Weigh what a choice costs besides its time: bytes between zones, and failures.
+    """Return the cost factor of traffic between zones and of failures.
 
     :param zone: availability zone of this daemon
     """
--- a/packages/dotterelgate-core/src/dotterelgate_core/granting.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/granting.py
@@ -1,4 +1,4 @@
-"""Filter of the owner of a service's queue: other daemons' calls wait in it like its own."""
+"""Filters of a queue's owner: calls of other daemons are queued like its own."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 
 __all__ = ["GrantingState", "make_granting_filter", "make_reply_filter"]
 
-# A grant whose answer was lost is given again to the same question for so long.
+# Time for which a repeated request gets the same grant, since the first may be lost.
 GRANT_REPEAT_SECONDS = 1.0
 
 
 @dataclass(kw_only=True, slots=True)
 class GrantingState:
-    """Calls of other daemons here.
+    """Slots granted to calls of other daemons.
 
     :param granted: grants by call id, with the monotonic second of each
     """
@@ -41,7 +41,7 @@
 
 
 def make_granting_filter(state: DaemonState, granting: GrantingState) -> Filter:
-    """Make the filter from other daemons' questions to routed calls."""
+    """Build the filter that turns other daemons' slot requests into routed calls."""
 
     def grant(message: Message) -> Iterable[Message]:
         if isinstance(message, SlotRequested):
@@ -57,7 +57,7 @@
 
 
 def make_reply_filter(state: DaemonState, granting: GrantingState) -> Filter:
-    """Make the filter that remembers grants and turns refusals into answers to daemons."""
+    """Build the filter that stores grants and turns refusals into denials for the requester."""
 
     def reply(message: Message) -> Iterable[Message]:
         if isinstance(message, GrantSlot):
@@ -125,7 +125,7 @@
     service = state.configuration.find_service(request.service)
     if service is None or state.configuration.current is None:
         return None
-    # A split route stands with its first part only.
+    # A split route is listed under its first part only.
     for each in (service, *state.configuration.current.services):
         for route in each.routes:
             if request.route in (route.name, route.prefix):
@@ -142,7 +142,7 @@
 
 
 def _drop_old_grants(granting: GrantingState, now: float) -> None:
-    # Grants stand in the order in which they were given.
+    # Entries are in the order of their grants.
     while granting.granted:
         call_id, (granted_at, _) = next(iter(granting.granted.items()))
         if now - granted_at <= GRANT_REPEAT_SECONDS:
--- a/packages/dotterelgate-core/src/dotterelgate_core/learning.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/learning.py
@@ -1,4 +1,4 @@
-"""What one answer teaches of a backend server and of a route's work."""
+"""Updates of a backend server's load view and a route's work time from an answer."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     message: ServerAnswered,
     seconds: float,
 ) -> None:
-    """Note load, pace and success of an answer.
+    """Record the load, pace and success that an answer shows.
 
     :param seconds: time from the dispatch to the answer
     """
--- a/packages/dotterelgate-core/src/dotterelgate_core/messages.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/messages.py
@@ -40,7 +40,7 @@
 
 
 class Purpose(str, Enum):
-    """Why a call is handed to a peer."""
+    """Why a call is forwarded to a peer."""
 
     HOLD = "hold"
     OWN = "own"
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Call:
-    """What the decisions need to know of one request.
+    """Data of one request that the decisions need.
 
     :param id: unique in this daemon
     :param method: HTTP method
@@ -56,13 +56,13 @@
     :param path: path without the query
     :param key: idempotency key, if the caller sent one
     :param fingerprint: digest of method, target and body, compared under one key
-    :param timeout: seconds that the caller still waits, if it said so
-    :param streamed: whether the body is too large to be kept
-    :param retried: whether a caller further up retries already
+    :param timeout: seconds that the caller still waits, if it sent a limit
+    :param streamed: whether the body is too large to be buffered
+    :param retried: whether a caller upstream already retries
     :param unread_wait: seconds that it may have waited unread while the daemon was paused
-    :param purpose: why a peer handed it over; ``None`` when from a caller
-    :param holder: daemon that holds its key and fences it, if it was held before
-    :param fence: wall-clock second after which it must not start, if held
+    :param purpose: why a peer forwarded it; ``None`` when from a caller
+    :param holder: daemon that holds its key and set the fence, if any
+    :param fence: wall-clock second after which it must not start, if its key is held
     :param request_id: the caller's own id of this request, for the log
     """
 
@@ -110,7 +110,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CallParked:
-    """A keyed call that waits until a holder of its range is known."""
+    """A keyed call waits until a holder of its range is known."""
 
     now: float
     call_id: int
@@ -126,11 +126,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ServerReport:
-    """What a backend server said of itself along with an answer or probe.
+    """State of a backend server that it reported with an answer or probe.
 
-    :param in_flight: requests it works on or queues, if it said so
-    :param draining: whether it said that it is leaving
-    :param load: its load in full, if it said so
+    :param in_flight: requests it works on or queues, if reported
+    :param draining: whether it reported that it is leaving
+    :param load: its complete load report, if sent
     """
 
     in_flight: int | None = None
@@ -140,11 +140,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ServerAnswered:
-    """A backend server's answer arrived whole.
+    """A backend server's complete answer arrived.
 
     :param wall: wall-clock second at which it arrived
-    :param ran: ``False`` when the backend server said that it did not run it
-    :param stored_answer: the answer if small enough to be kept for a key, else ``None``
+    :param ran: ``False`` when the backend server reported that it did not run it
+    :param stored_answer: the answer if small enough to be stored for a key, else ``None``
     """
 
     now: float
@@ -159,9 +159,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class DispatchFailed:
-    """A dispatched request got no whole answer.
+    """A dispatched request got no complete answer.
 
-    :param sent: whether the backend server may have read the whole request head
+    :param sent: whether the backend server may have read the complete request head
     :param relay_started: whether part of the answer went to the caller already
     """
 
@@ -175,10 +175,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PeerAnswered:
-    """A peer handed back a backend server's answer or its own refusal.
+    """A peer returned a backend server's answer or its own refusal.
 
-    :param refusal: the peer's refusal, or ``None`` when the answer arrived whole
-    :param stored_answer: the answer if small enough to be kept for a key, else ``None``
+    :param refusal: the peer's refusal, or ``None`` when the complete answer arrived
+    :param stored_answer: the answer if small enough to be stored for a key, else ``None``
     """
 
     now: float
@@ -190,7 +190,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PeerFailed:
-    """A peer that a call was handed to cannot be reached.
+    """A peer that a call was forwarded to cannot be reached.
 
     :param sent: whether the peer may have read the call
     :param relay_started: whether part of the answer went to the caller already
@@ -212,7 +212,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SlotFreed:
-    """Backend servers of a service may have room for waiting requests."""
+    """Backend servers of a service may have free slots for waiting requests."""
 
     now: float
     service: str
@@ -220,9 +220,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CallSettled:
-    """A call reached its end; filters that kept state for it let go.
+    """The final outcome of a call is decided; filters release their state of it.
 
-    :param ran: whether it ran; ``None`` when that is not known
+    :param ran: whether it ran; ``None`` when that is unknown
     """
 
     now: float
@@ -234,7 +234,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Dispatch:
-    """Order to send a call to a backend server.
+    """Order to dispatch a call to a backend server.
 
     :param deadline: monotonic second at which the answer is given up
     :param fence: wall-clock second after which the server must not start it
@@ -251,10 +251,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Forward:
-    """Order to hand a call to a peer.
+    """Order to forward a call to a peer.
 
     :param deadline: monotonic second at which the answer is given up
-    :param expires: wall-clock second after which the peer must not take it
+    :param expires: wall-clock second after which the peer must not accept it
     :param fence: wall-clock second after which no backend server must start it
     """
 
@@ -268,7 +268,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Cancel:
-    """Order to stop waiting for an answer and tell the backend server or peer."""
+    """Order to stop waiting for an answer and cancel the call at its server or peer."""
 
     call_id: int
     server: str | None = None
@@ -277,7 +277,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Relay:
-    """Order to pass on the answer that was received for a call."""
+    """Order to relay the answer that was received for a call."""
 
     call_id: int
     source: str
@@ -285,7 +285,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Replay:
-    """Order to answer a call with an answer kept for its key."""
+    """Order to answer a call with the answer stored for its key."""
 
     call_id: int
     stored_answer: object
@@ -305,7 +305,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ReleaseCall:
-    """Order to let go of a call that nobody waits for any more."""
+    """Order to release a call that nobody waits for."""
 
     call_id: int
 
@@ -314,7 +314,7 @@
 class Decision:
     """A decision for the log: a fixed prefix per part and a short sentence.
 
-    :param facts: what decided it, with ages and versions
+    :param facts: what the decision was based on, with ages and versions
     """
 
     part: str
--- a/packages/dotterelgate-core/src/dotterelgate_core/owners.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/owners.py
@@ -1,4 +1,4 @@
-"""Owners of the services' queues in each availability zone; wrong views only cost speed."""
+"""Owners of the services' queues in each zone; disagreement on them only costs speed."""
 
 from __future__ import annotations
 
@@ -14,18 +14,16 @@
 
 __all__ = ["OwnerTable", "find_owner", "is_granted", "list_owners", "select_listeners"]
 
-# The owner, and the daemon that follows it when it fails.
+# The owner, and its successor when it fails.
 OWNER_COUNT = 2
-# Ranks are worked out again this often.
 RANKING_INTERVAL_SECONDS = 0.2
-# An owner that left questions unanswered is passed over for so long; heartbeats tell
-# within 1.2 s whether it is gone.
+# Time for which an unresponsive owner is passed over; heartbeats show a failure within 1.2 s.
 SUSPICION_SECONDS = 1.0
 
 
 @dataclass(kw_only=True, slots=True)
 class OwnerTable:
-    """Ranks of the daemons for each service and zone.
+    """Rankings of the daemons for each service and zone.
 
     :param rankings: names by service and zone, the owner first
     :param ranked_at: monotonic second of each ranking
@@ -37,12 +35,12 @@
     suspected_until: dict[str, float] = field(default_factory=dict)
 
     def suspect(self, name: str, now: float) -> None:
-        """Pass over a daemon that left questions unanswered."""
+        """Pass over a daemon that left requests unanswered."""
         self.suspected_until[name] = now + SUSPICION_SECONDS
 
 
 def list_owners(state: DaemonState, service: str, now: float, zone: str) -> list[str]:
-    """Name the owner of a service's queue in a zone, and the one that follows it."""
+    """Name the owner of a service's queue in a zone, and its successor."""
     table = state.owners
     key = (service, zone)
     if now - table.ranked_at.get(key, float("-inf")) >= RANKING_INTERVAL_SECONDS:
@@ -55,7 +53,7 @@
 
 
 def _select_deciding(state: DaemonState, now: float, zone: str) -> list[str]:
-    """Name the daemons of a zone that know enough to choose; all, where none does."""
+    """Name the daemons of a zone that can decide, or all daemons if none can."""
     alive = select_alive(state, now, zone)
     deciding = [
         name
@@ -66,19 +64,19 @@
 
 
 def find_owner(state: DaemonState, service: str, now: float) -> str:
-    """Name the owner of a service's queue in the own zone; this daemon if none is known."""
+    """Name the owner of a service's queue in the own zone, or this daemon if there is none."""
     owners = list_owners(state, service, now, state.zone)
     return owners[0] if owners else state.name
 
 
 def is_granted(state: DaemonState, service: str) -> bool:
-    """Tell whether the owner of a service's queue grants its slots."""
+    """Return whether the owner of a service's queue grants its slots."""
     configured = state.configuration.find_service(service)
     return configured is not None and configured.policy in GRANTED_POLICIES
 
 
 def select_listeners(state: DaemonState, service: str, now: float) -> list[str]:
-    """Name the peers of the zone that decide by the load of a service."""
+    """Name the peers of the own zone that need load updates of a service."""
     if not is_granted(state, service):
         return select_zone_peers(state, now)
     owners = list_owners(state, service, now, state.zone)
--- a/packages/dotterelgate-core/src/dotterelgate_core/owning.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/owning.py
@@ -1,4 +1,4 @@
-"""Filter that hands a call to the daemon that owns the service's queue."""
+"""Filter that forwards a call to the daemon that owns the service's queue."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def make_owning_filter(state: DaemonState, policies: Mapping[str, Policy]) -> Filter:
-    """Make the filter that lets calls of owned services through to their owner."""
+    """Build the filter that forwards calls of services with an owned queue."""
 
     def own(message: Message) -> Iterable[Message]:
         if not isinstance(message, CallRouted):
@@ -34,7 +34,7 @@
 
 
 def find_owner(state: DaemonState, service: str) -> str:
-    """Find the daemon that owns a service's queue, as seen from here."""
+    """Find the owner of a service's queue by this daemon's list of peers."""
     usable = state.peers.select_usable()
     if not usable:
         return state.name
--- a/packages/dotterelgate-core/src/dotterelgate_core/pipes.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/pipes.py
@@ -14,7 +14,7 @@
 def connect(*filters: Filter) -> Filter:
     """Connect filters so that each reads what the one before it wrote.
 
-    A filter passes on every message that it does not handle.
+    A filter returns every message that it does not handle.
 
     :param filters: functions from one message to any number of messages
     :returns: a filter that runs one message through all of them
--- a/packages/dotterelgate-core/src/dotterelgate_core/policies.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/policies.py
@@ -1,4 +1,4 @@
-"""Routing policies: functions that choose one backend server of several."""
+"""Routing policies: how requests are queued and backend servers chosen."""
 
 from __future__ import annotations
 
@@ -23,13 +23,12 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Policy:
-    """How requests of a service meet backend servers.
+    """How requests of a service are queued and assigned to backend servers.
 
     :param name: value of ``policy`` in the configuration
-    :param owned: whether one daemon takes in all requests of the service
+    :param owned: whether all requests of the service are forwarded to one daemon
     :param late: whether a request waits in the daemon until a slot is free
-    :param shared: whether daemons of a zone tell each other the load, so that waits are
-        known and bounded
+    :param shared: whether daemons of a zone exchange loads, so that waits are known and bounded
     :param granted: whether one daemon of each zone grants the slots to the others
     :param choose: chooses among eligible backend servers, at least one, for a call
         at a monotonic second; ``None`` when the call should wait for a better one
@@ -44,7 +43,7 @@
 
 
 def make_policies(random: Random, zone: str = "") -> dict[str, Policy]:
-    """Make every selectable policy.
+    """Build every selectable policy.
 
     :param random: source of the random choices
     :param zone: availability zone of this daemon
@@ -76,7 +75,7 @@
 
 
 def choose_fastest(states: Sequence[ServerState], *_: object) -> ServerState:
-    """Choose by the recent service time, and a little by requests in flight."""
+    """Choose by the recent service time, weighted a little by requests in flight."""
     return min(states, key=_estimate_cost)
 
 
@@ -85,7 +84,7 @@
 
 
 def make_random(random: Random) -> Choose:
-    """Make the choice of any backend server."""
+    """Build the choice of a backend server at random."""
 
     def choose(states: Sequence[ServerState], *_: object) -> ServerState:
         return random.choice(states)
@@ -94,7 +93,7 @@
 
 
 def make_least_in_flight(random: Random) -> Choose:
-    """Make the choice of the fewest own requests in flight, ties at random."""
+    """Build the choice of the fewest own requests in flight, ties at random."""
 
     def choose(states: Sequence[ServerState], *_: object) -> ServerState:
         least = min(state.in_flight for state in states)
@@ -104,7 +103,7 @@
 
 
 def make_least_reported(random: Random) -> Choose:
-    """Make the choice of the fewest requests by the servers' own last reports."""
+    """Build the choice of the fewest requests by the servers' latest reports."""
 
     def count(state: ServerState) -> int:
         return max(state.in_flight, state.reported)
@@ -117,7 +116,7 @@
 
 
 def make_two_choices(random: Random) -> Choose:
-    """Make the choice of the emptier of two drawn at random."""
+    """Build the choice of the one with fewer own requests in flight of two random servers."""
 
     def choose(states: Sequence[ServerState], *_: object) -> ServerState:
         first = random.choice(states)
@@ -128,7 +127,7 @@
 
 
 def make_round_robin() -> Choose:
-    """Make the choice of one after the other."""
+    """Build the choice of each server in turn."""
     turn = 0
 
     def choose(states: Sequence[ServerState], *_: object) -> ServerState:
@@ -139,7 +138,7 @@
     return choose
 
 
-# Policies whose loads only the owners of a service's queue need to hear.
+# Policies under which only the owners of a service's queue need load updates.
 GRANTED_POLICIES = frozenset(("granted_queue",))
 
 POLICY_NAMES = (
--- a/packages/dotterelgate-core/src/dotterelgate_core/queues.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/queues.py
@@ -24,14 +24,14 @@
 
 @dataclass(kw_only=True, slots=True)
 class ServiceQueue:
-    """Waiting requests of one service; known long work waits apart.
+    """Waiting requests of one service, with long work in separate subqueues.
 
     :param short: call ids by priority, oldest first
-    :param long: the same for work known to run long
-    :param long_in_flight: long requests dispatched and not answered
+    :param long: the same for routes declared long
+    :param long_in_flight: long requests dispatched and not yet answered
     :param short_time: smoothed seconds of slot time per short request
     :param long_time: smoothed seconds of slot time per long request
-    :param typical_time: the same per request with stragglers cut
+    :param typical_time: the same per request with stragglers capped
     """
 
     short: dict[Priority, deque[int]] = field(default_factory=_make_subqueues)
@@ -42,13 +42,13 @@
     typical_time: float = 0.0
 
     def add(self, state: CallState) -> None:
-        """Put a call at the end of its subqueue."""
+        """Append a call to its subqueue."""
         subqueues = self.long if state.routed.route.long else self.short
         subqueues[state.routed.route.priority].append(state.call.id)
         state.queued = True
 
     def add_first(self, state: CallState) -> None:
-        """Put a call that is retried at the head of its subqueue."""
+        """Put a retried call at the head of its subqueue."""
         subqueues = self.long if state.routed.route.long else self.short
         subqueues[state.routed.route.priority].appendleft(state.call.id)
         state.queued = True
@@ -59,7 +59,7 @@
         return sum(len(subqueue) for each, subqueue in subqueues.items() if each <= priority)
 
     def note_time(self, seconds: float, *, long: bool) -> None:
-        """Learn how long a request held its slot."""
+        """Update the smoothed slot time with that of one request."""
         before = self.long_time if long else self.short_time
         weight = SLOT_TIME_WEIGHT if before else 1.0
         after = before + weight * (seconds - before)
@@ -69,9 +69,9 @@
             self.short_time = after
 
     def cut_straggler(self, seconds: float) -> float:
-        """Cut a time to a multiple of the typical one, and learn the typical one.
+        """Cap a time at a multiple of the typical one, and update the typical one.
 
-        One straggler says nothing of the speed of the backend server that ran it.
+        A single straggler does not indicate the speed of its backend server.
         """
         if not self.typical_time:
             self.typical_time = seconds
@@ -80,7 +80,7 @@
         return capped
 
     def estimate_wait(self, priority: Priority, *, long: bool, slots: int) -> float:
-        """Estimate the seconds until a request that comes now gets a slot."""
+        """Estimate the seconds until a request that arrives now gets a slot."""
         ahead = self.count_ahead(priority, long=long)
         seconds_each = self.long_time if long else self.short_time
         return ahead * seconds_each / max(slots, 1)
@@ -115,12 +115,12 @@
     queues: dict[str, ServiceQueue] = field(default_factory=dict)
 
     def is_waited_for(self, service: str) -> bool:
-        """Tell whether requests wait for a slot of a service."""
+        """Return whether requests wait for a slot of a service."""
         queue = self.queues.get(service)
         return queue is not None and queue.count_waiting() > 0
 
     def find(self, service: str) -> ServiceQueue:
-        """Find the queue of a service, making it on first use."""
+        """Return the queue of a service, creating it on first use."""
         queue = self.queues.get(service)
         if queue is None:
             queue = self.queues[service] = ServiceQueue()
--- a/packages/dotterelgate-core/src/dotterelgate_core/retries.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/retries.py
@@ -1,4 +1,4 @@
-"""Budgets that keep retries a small share of the requests."""
+"""Budgets that limit retries to a small share of the requests."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     """Tokens earned by first attempts and spent by further ones.
 
     :param share: tokens earned by each request
-    :param burst: tokens at most
-    :param tokens: tokens left
+    :param burst: maximum number of tokens
+    :param tokens: tokens available
     """
 
     share: float
@@ -23,13 +23,13 @@
     tokens: float = BURST
 
     def earn(self) -> None:
-        """Count one request."""
+        """Add the tokens earned by one request."""
         self.tokens = min(self.tokens + self.share, self.burst)
 
     def spend(self) -> bool:
-        """Take one token.
+        """Spend one token.
 
-        :returns: whether there was one
+        :returns: whether one was available
         """
         if self.tokens < 1.0:
             return False
@@ -41,15 +41,14 @@
 class BudgetTable:
     """Budgets by service name.
 
-    :param burst: tokens that each may save up; they are spent by every daemon of
-        the system at once when its backend servers fail together
+    :param burst: maximum tokens of each; all daemons spend them at once if servers fail together
     """
 
     burst: float = BURST
     budgets: dict[str, Budget] = field(default_factory=dict)
 
     def find(self, service: str, share: float) -> Budget:
-        """Find the budget of a service, making it on first use."""
+        """Return the budget of a service, creating it on first use."""
         budget = self.budgets.get(service)
         if budget is None:
             budget = self.budgets[service] = Budget(
--- a/packages/dotterelgate-core/src/dotterelgate_core/retry_after.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/retry_after.py
@@ -1,4 +1,4 @@
-"""Advice to refused callers on when to come back."""
+"""Values of ``Retry-After`` for refused callers."""
 
 from __future__ import annotations
 
@@ -9,18 +9,17 @@
 
 __all__ = ["choose_retry_after"]
 
-# A caller that comes back later than this share of its time has too little left.
+# A caller that retries after more than this share of its remaining time has too little.
 REMAINING_SHARE = 0.3
-# Waits are spread between this share and the whole, so that callers who were
-# refused together do not return together.
+# Values are spread from this share up, so that callers refused together do not retry together.
 SPREAD_FROM = 0.4
 SPREAD_STEPS = 16
 
 
 def choose_retry_after(call_state: CallState, now: float) -> float:
-    """Advise after how many seconds a caller should come back.
+    """Choose the seconds after which a caller should retry.
 
-    :returns: at most a share of the time that the caller has left
+    :returns: at most a share of the caller's remaining time
     """
     remaining = max(0.0, call_state.routed.deadline - now)
     step = (call_state.call.id % SPREAD_STEPS) / (SPREAD_STEPS - 1)
--- a/packages/dotterelgate-core/src/dotterelgate_core/routes.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/routes.py
@@ -23,7 +23,7 @@
 
 
 def make_route_filter(state: DaemonState) -> Filter:
-    """Make the filter from arrived to routed calls."""
+    """Build the filter that turns arrived calls into routed or refused ones."""
 
     def route(message: Message) -> Iterable[Message]:
         if not isinstance(message, CallArrived):
--- a/packages/dotterelgate-core/src/dotterelgate_core/settling.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/settling.py
@@ -1,4 +1,4 @@
-"""Filters that decide between answer and retry."""
+"""Filters that settle each call: relay an answer, retry, or refuse."""
 
 from __future__ import annotations
 
@@ -39,12 +39,12 @@
 __all__ = ["make_finishing_filter", "make_settling_filter"]
 
 
-# Connections that may fail before the backend server reads anything of a request.
+# Failed connections of one call, with nothing sent, that do not count as attempts.
 UNSENT_ATTEMPTS_LIMIT = 3
 
 
 def make_settling_filter(state: DaemonState) -> Filter:
-    """Make the filter from outcomes to settled or retried calls."""
+    """Build the filter that turns outcomes of calls into settled or retried calls."""
 
     def settle(message: Message) -> Iterable[Message]:
         if isinstance(message, ServerAnswered):
@@ -104,7 +104,7 @@
 def _settle_unsent(
     state: DaemonState, call_state: CallState, message: DispatchFailed
 ) -> list[Message]:
-    """Choose again where nothing was sent; the backend server knows of no attempt."""
+    """Choose another server without counting an attempt, since nothing was sent."""
     refusal = Refusal(codes.CONNECT_FAILED, message.refusal.reason)
     if call_state.unsent_attempts >= UNSENT_ATTEMPTS_LIMIT or call_state.attempts > 1:
         return _retry_or_refuse(state, call_state, message.now, refusal, message.server)
@@ -158,7 +158,7 @@
     if routed.call.streamed or call_state.caller_disconnected and call_state.digest is None:
         return False
     if now + call_state.work + CALLER_NETWORK_SECONDS > routed.deadline:
-        # The answer that there is, or its loss, is told while the caller waits.
+        # A retry would end after the deadline: report this outcome while the caller waits.
         return False
     return state.retries.find(routed.service.name, routed.service.retry_share).spend()
 
@@ -205,7 +205,7 @@
     call_state.must_stay_local = True
     decision = Decision(
         part="settling",
-        sentence="the owner cannot be used; dispatching from here",
+        sentence="the owner cannot be used; dispatching locally",
         call_id=call_state.call.id,
         service=call_state.routed.service.name,
     )
@@ -235,13 +235,13 @@
 def _settle_deadline(state: DaemonState, call_state: CallState, now: float) -> list[Message]:
     dispatched = call_state.server is not None or call_state.peer is not None
     if not dispatched and not call_state.joined:
-        # It must not get a slot that is freed at the same moment.
+        # A slot that is freed at the same moment must not go to this call.
         call_state.queued = False
         refusal = Refusal(codes.DEADLINE_PASSED, "the time limit passed while waiting")
         return _refuse(now, call_state.call.id, _limit_to_attempt(call_state, refusal), ran=False)
     refusal = Refusal(codes.DEADLINE_EXCEEDED, "the time limit passed after dispatch")
     if call_state.digest is not None:
-        # The run goes on so that a repeat of the key can be told its answer.
+        # The dispatch is not cancelled, so that a retry with the same key gets its answer.
         call_state.caller_disconnected = True
         return [RefuseCall(call_id=call_state.call.id, refusal=refusal, awaits_answer=True)]
     return _cancel_call(state, call_state, now, refusal)
@@ -273,7 +273,7 @@
 
 
 def make_finishing_filter(state: DaemonState) -> Filter:
-    """Make the filter that turns settled calls into answers and lets go of them."""
+    """Build the filter that turns settled calls into final orders and releases their state."""
 
     def finish(message: Message) -> Iterable[Message]:
         if isinstance(message, CallSettled):
--- a/packages/dotterelgate-core/src/dotterelgate_core/slots.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/slots.py
@@ -26,12 +26,12 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SlotRequest:
-    """What the owner needs to know of a call that wants a slot.
+    """Data of a call that the owner needs to choose a slot.
 
     :param call_id: id of the call at the daemon that has it
     :param request_id: the caller's own id of the request, for the log
     :param route: name or prefix of the route
-    :param work: seconds that the call takes on a calm backend server
+    :param work: expected seconds on a backend server without slowdown
     :param waited: seconds since the call was routed first
     :param remaining: seconds until its time limit
     :param attempt: dispatches so far
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SlotGrant:
-    """A slot of a backend server, and what the owner chose it by.
+    """A slot of a backend server, and the load report that the owner chose it by.
 
     :param slowdown: slowdown that the backend server reported last
     :param report_age: seconds since that report
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RequestSlot:
-    """Order to ask the owner for a slot."""
+    """Order to request a slot from the owner."""
 
     owner: str
     request: SlotRequest
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WithdrawSlot:
-    """Order to tell the owner that a call needs no slot any more."""
+    """Order to notify the owner that a call no longer needs a slot."""
 
     owner: str
     call_id: int
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class GrantSlot:
-    """Order to tell a daemon which backend server its call may go to."""
+    """Order to grant a slot to a daemon's call."""
 
     requester: str
     call_id: int
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class QueueSlot:
-    """Order to tell a daemon that its call waits here."""
+    """Order to notify a daemon that its call is queued."""
 
     requester: str
     call_id: int
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class DenySlot:
-    """Order to tell a daemon that its call gets no slot."""
+    """Order to notify a daemon that its call gets no slot."""
 
     requester: str
     call_id: int
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SlotRequested:
-    """A daemon of the zone asks for a slot."""
+    """A daemon of the zone requested a slot."""
 
     now: float
     wall: float
@@ -116,7 +116,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SlotWithdrawn:
-    """A daemon's call needs no slot any more."""
+    """A daemon's call no longer needs a slot."""
 
     now: float
     call_id: int
@@ -134,7 +134,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SlotQueued:
-    """The owner has the call in its queue."""
+    """The owner queued the call."""
 
     now: float
     call_id: int
--- a/packages/dotterelgate-core/src/dotterelgate_core/splits.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/splits.py
@@ -1,4 +1,4 @@
-"""Shares of the requests of split routes."""
+"""Division of the requests of split routes by weight."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 class SplitTable:
     """Credits of the parts of each split route.
 
-    The part with the most credit gets the next request, so that shares hold over
-    short spans too.
+    The part with the most credit gets the next request, so that the weights also hold
+    over a few requests.
 
-    :param random: source of the first credits; equal ones would make all daemons
-        send their first requests to the same part
+    :param random: source of the initial credits; with equal ones all daemons would send
+        their first requests to the same part
     """
 
     random: Random | None = None
     _credits: dict[Route, dict[str, float]] = field(default_factory=dict)
 
     def choose(self, route: Route) -> str:
-        """Choose the service that the next request of a split route goes to."""
+        """Choose the service of the next request of a split route."""
         credits = self._credits.get(route)
         if credits is None:
             self._drop_previous(route)
--- a/packages/dotterelgate-core/src/dotterelgate_core/work_times.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/work_times.py
@@ -1,4 +1,4 @@
-"""Usual times of the work behind each route."""
+"""Usual work time of each route."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 # Operators set the target at three to four times the usual work.
 TARGET_SHARE = 0.3
-# Weight of one answer; the first guess weighs as much as this many answers.
+# Weight of one answer; the initial guess fades over about ten answers.
 ANSWER_WEIGHT = 0.1
-# Longer answers say little of the usual time: one in thirty runs seven times as long.
+# Answers count at most this multiple of the estimate: one in thirty runs 7 times as long.
 CAP_FACTOR = 3.0
 
 
 @dataclass(kw_only=True, slots=True)
 class WorkTimes:
-    """Smoothed seconds per request on a calm backend server, by service and route.
+    """Smoothed seconds per request without slowdown, by service and route.
 
     :param routed_at: monotonic second of the last request of each service
     """
@@ -34,7 +34,7 @@
         return learned if learned is not None else _guess_seconds(route)
 
     def learn(self, service: Service, route: Route, seconds: float) -> None:
-        """Learn from an answer's time, divided by the slowdown it met."""
+        """Update the estimate with an answer's time, divided by its slowdown."""
         key = (service.name, route.name or route.prefix)
         before = self._seconds.get(key, _guess_seconds(route))
         self._seconds[key] = before + ANSWER_WEIGHT * (min(seconds, CAP_FACTOR * before) - before)
