--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/assembly.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/assembly.py
@@ -1,4 +1,4 @@
-"""One daemon put together from its parts."""
+"""Construction of the daemon that reads the log service."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 @dataclass(kw_only=True)
 class Parts:
-    """The parts that the stop and the status need."""
+    """The parts of a daemon under construction."""
 
     settings: DaemonSettings
     base: CommonParts
@@ -69,9 +69,9 @@
     lines: LineBuffer | None = None,
     reload: Callable[[], None] = lambda: None,
 ) -> Daemon:
-    """Build a daemon; it listens already but has read nothing.
+    """Build a daemon; it listens already but has not read the log yet.
 
-    :param lines: log lines that wait to be written
+    :param lines: buffer of log lines
     :param reload: called on SIGHUP
     :raises OSError: when an address cannot be bound
     """
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/callers.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/callers.py
@@ -1,4 +1,4 @@
-"""Connections of callers: requests in, answers out, one at a time."""
+"""Connections of callers; requests on one connection are answered one at a time."""
 
 from __future__ import annotations
 
@@ -43,7 +43,10 @@
 
 @dataclass(kw_only=True)
 class _Incoming:
-    """A request as far as it has arrived."""
+    """A request that may still be arriving.
+
+    :param ended: whether the body is complete
+    """
 
     head: RequestHead
     body: bytearray = field(default_factory=bytearray)
@@ -53,12 +56,12 @@
 
 
 class CallerGate:
-    """Accepts callers and hands their requests to the gateway.
+    """Accepts callers and passes their requests to the gateway.
 
-    :param head_limit: bytes of a request head at most
-    :param body_limit: bytes of a request body that are kept, larger ones stream
-    :param connection_limit: connections at once at most
-    :param watch: tells how long a request may have waited unread
+    :param head_limit: largest request head, in bytes
+    :param body_limit: bytes of a request body that are buffered; larger bodies are streamed
+    :param connection_limit: largest number of open connections
+    :param watch: measures how long a request may have waited unread
     """
 
     def __init__(
@@ -88,20 +91,20 @@
         self.start_serving()
 
     def bind(self, address: str) -> None:
-        """Let callers connect; their requests wait until serving starts.
+        """Listen on ``IP:port``; connections wait until serving starts.
 
         :raises OSError: when the address cannot be bound
         """
         self._listener = self.streams.bind(address)
 
     def start_serving(self) -> None:
-        """Take the requests of those that connected."""
+        """Start to accept connections."""
         if self._listener is not None and not self._is_serving:
             self._is_serving = True
             self.streams.start_accepting(self._listener, self._accept)
 
     def close(self) -> None:
-        """Accept no more connections and end those that wait for nothing."""
+        """Stop accepting connections and close idle ones."""
         self.start_serving()
         if self._listener is not None:
             self.streams.stop_listening(self._listener)
@@ -110,7 +113,7 @@
             connection.close_if_idle()
 
     def close_idle(self, *, older_than: float) -> None:
-        """Close connections that have waited for a request since before a second."""
+        """Close connections without a request since before a monotonic second."""
         for connection in list(self.connections):
             if connection.idle_since < older_than:
                 connection.close_if_idle()
@@ -145,7 +148,7 @@
         )
 
     def close_if_idle(self) -> None:
-        """Close unless a request is in progress or may still be on its way."""
+        """Close unless a request is in progress or may be in transit."""
         if time.monotonic() - self.idle_since < CROSSING_SECONDS:
             return
         if self._current is None and self._arriving is None:
@@ -317,7 +320,7 @@
         self._finish()
 
     def _cut(self) -> None:
-        # Closing before the stated end is how HTTP tells a cut answer.
+        # In HTTP, closing before the declared end marks an incomplete answer.
         self._current = None
         self._stream.close()
         self._gate.connections.discard(self)
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/codec.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/codec.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 heads and bodies between bytes and data classes, by library."""
+"""HTTP/1.1 messages: parsing with httptools, and encoding."""
 
 from __future__ import annotations
 
@@ -83,12 +83,12 @@
 
 
 class RequestReader:
-    """Reads the requests of one connection in turn.
+    """Parses the requests of one connection.
 
     :param begin: called with each head
     :param body: called with each part of a body
-    :param end: called when a request is whole
-    :param refuse: called once with a result code when the bytes are not valid
+    :param end: called when a request is complete
+    :param refuse: called once with a result code and a reason when a request is not valid
     """
 
     def __init__(
@@ -200,15 +200,15 @@
 
 
 class AnswerReader:
-    """Reads one answer; a connection gets a new reader for each.
+    """Parses one answer; each exchange on a connection has its own reader.
 
-    :param method: method of the request, since HEAD has no body
+    :param method: method of the request, since an answer to HEAD has no body
     :param begin: called with the head
     :param body: called with each part of the body
-    :param end: called when the answer is whole
-    :param is_own: tells whether headers belong to the answer that is awaited;
-        others are passed over, and the connection is not used again
-    :param takes_unframed: whether the answer may end with its connection
+    :param end: called when the answer is complete
+    :param is_own: returns whether headers belong to the expected answer;
+        other answers are skipped, and the connection is not reused
+    :param takes_unframed: whether the end of the connection may end the body
     """
 
     def __init__(
@@ -237,7 +237,7 @@
         self.may_reuse = True
 
     def feed(self, data: bytes) -> None:
-        """Read bytes; ``problem`` says so when they are not a valid answer."""
+        """Read bytes as they arrive; sets ``problem`` when the answer is not valid."""
         if self._is_whole:
             self.may_reuse = False
             return
@@ -285,7 +285,7 @@
         )
         self._begin(head)
         if self._method == "HEAD":
-            # The library cannot be told that no body follows.
+            # The parser has no setting for answers without a body.
             self.may_reuse = False
             self._finish()
 
@@ -304,7 +304,7 @@
             self._finish()
 
     def close(self) -> bool:
-        """Note that the server ended the connection in order.
+        """Note that the server closed the connection.
 
         :returns: whether that completed the answer
         """
@@ -320,7 +320,7 @@
 
 
 def find_header(headers: HeaderList, name: bytes) -> bytes | None:
-    """Find the first value of a header by its lower-case name."""
+    """Return the first value of a header by its lower-case name."""
     for each, value in headers:
         if each == name:
             return value
@@ -328,7 +328,7 @@
 
 
 def select_end_to_end(headers: HeaderList, dropped: frozenset[bytes]) -> HeaderList:
-    """Select the headers that are meant for the other end (RFC 9110, 7.6.1).
+    """Select the end-to-end headers (RFC 9110, 7.6.1).
 
     :param dropped: further lower-case names to leave out
     """
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/common_parts.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/common_parts.py
@@ -1,4 +1,4 @@
-"""The parts that every daemon has, whatever tells it what is in force."""
+"""The parts that every daemon has, whatever the source of its configuration."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
     """Build the parts; nothing listens yet.
 
     :param decide: the request pipeline
-    :param lines: log lines that wait to be written
+    :param lines: buffer of log lines
     """
     write_decision = make_decision_writer(settings.name)
     timers = TimerService()
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/dialect.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/dialect.py
@@ -1,4 +1,4 @@
-"""Names of headers and what they say, as far as they steer the system."""
+"""The headers that the system itself reads and writes."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RequestTerms:
-    """What a request's headers say to the system.
+    """What the system reads from a request's headers.
 
-    :param timeout: seconds that the caller still waits, if it said so
+    :param timeout: seconds that the caller still waits, if stated
     :param key: idempotency key, if the caller sent one
-    :param retried: whether a caller further up retries already
+    :param retried: whether the request is already marked as a further attempt
     :param request_id: the caller's own id of the request, if it sent one
     """
 
@@ -39,12 +39,12 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AnswerTerms:
-    """What an answer's headers say to the system.
+    """What the system reads from an answer's headers.
 
-    :param not_run: whether the backend server says that it did not run the request
-    :param request_id: id of the request that it answers, if it says so
-    :param server: name that the backend server gives itself, if it does
-    :param idle_seconds: seconds for which it keeps the connection open, if it says so
+    :param not_run: whether the backend server reports that it did not run the request
+    :param request_id: id of the request that it answers, if stated
+    :param server: the backend server's own name for itself, if stated
+    :param idle_seconds: seconds for which it keeps an idle connection open, if stated
     """
 
     report: ServerReport
@@ -56,9 +56,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class DispatchTerms:
-    """What the system tells a backend server along with a request.
+    """What the system writes into the headers of a dispatched request.
 
-    :param remaining: seconds until the answer is given up
+    :param remaining: seconds until the daemon stops waiting for the answer
     :param fence: wall-clock second after which it must not start, if any
     :param attempt: 1 for the first dispatch
     """
@@ -73,8 +73,8 @@
 class Dialect:
     """How the system's own headers are read and written.
 
-    :param control: lower-case names of headers that are never passed on
-    :param takes_unframed: whether an answer may end with its connection
+    :param control: lower-case names of headers that are not forwarded
+    :param takes_unframed: whether the end of the connection may end an answer's body
     """
 
     control: frozenset[bytes]
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/endpoint.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/endpoint.py
@@ -19,12 +19,12 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Endpoint:
-    """What ``/health``, ``/metrics``, ``/status`` and ``/explain`` answer.
+    """Sources of the pages ``/health``, ``/metrics``, ``/status`` and ``/explain``.
 
     :param is_healthy: whether the platform's balancer should send callers here
     :param render_metrics: the metrics in the text format
     :param describe: the daemon's state as a JSON document
-    :param explain: why a request would go where it goes
+    :param explain: how a request of a method, host and path would be routed
     """
 
     is_healthy: Callable[[], bool]
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/exchanges.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/exchanges.py
@@ -1,4 +1,4 @@
-"""Exchanges with one HTTP server each over reusable connections."""
+"""HTTP exchanges and the connection pools that they run on."""
 
 from __future__ import annotations
 
@@ -23,24 +23,24 @@
 logger = structlog.get_logger("pools")
 
 REUSE_FOR_WRITES_SECONDS = 0.5
-# A connection is not used again this long before the server said it would close it;
-# the request could cross the close on its way.
+# A connection is not reused within this time before the server's announced idle close;
+# the request could cross the close in transit.
 CLOSE_MARGIN_SECONDS = 1.0
-# After an idle connection turned out to be dropped, others are trusted for half of the
-# time that it was idle, but not less than this.
+# After a dropped idle connection was found, others are reused for half of the time that
+# it was idle, but at least this long.
 LEAST_TRUST_SECONDS = 0.1
-# The reset of a dropped connection comes back at once; a later loss has other causes.
+# A dropped connection is reset immediately; a later loss has another cause.
 RESET_SECONDS = 0.05
-# Backend servers that drop idle connections early do so for some seconds (the platform's
-# site files: 6 to 7 s).
+# Backend servers that drop idle connections early do so for some seconds (6 to 7 s in the
+# platform's site files).
 DISTRUST_SECONDS = 10.0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ExchangeEnd:
-    """How an exchange ended without a whole answer.
+    """How an exchange ended without a complete answer.
 
-    :param sent: whether the server may have read the whole head
+    :param sent: whether the server may have read the complete request head
     """
 
     sent: bool
@@ -50,17 +50,17 @@
 class Exchange:
     """One request and its answer on one connection.
 
-    A connection whose answer did not arrive whole and in turn is closed.
+    The connection is closed unless the answer arrived complete and in turn.
 
     :param head: encoded request head
     :param chunked: whether the body is sent in chunks
     :param begin: called with the head of the answer
     :param part: called with each part of its body
-    :param whole: called once when the answer is whole
-    :param failed: called once when it will not be
-    :param drained: called when more of the request's body can be taken
-    :param is_own: tells whether headers belong to this exchange's answer
-    :param takes_unframed: whether the answer may end with its connection
+    :param whole: called once when the answer is complete
+    :param failed: called once when the answer cannot be completed
+    :param drained: called when more of the request's body can be sent
+    :param is_own: returns whether headers belong to the answer to this request
+    :param takes_unframed: whether the end of the connection may end the answer's body
     """
 
     def __init__(
@@ -129,16 +129,16 @@
             self.stream.write(encode_chunk(part) if self._chunked else part)
 
     def is_body_full(self, limit: int) -> bool:
-        """Tell whether further parts of the request's body should wait.
+        """Return whether further parts of the request's body should wait.
 
-        :param limit: bytes that are kept until the connection is established
+        :param limit: bytes that are buffered until the connection is established
         """
         if self.stream is None:
             return len(self._first) > limit
         return self.stream.is_full
 
     def end_body(self) -> None:
-        """Say that the request's body is whole."""
+        """Note that the request's body is complete."""
         self._body_ended = True
         if self.stream is not None and self._chunked and not self._is_over:
             self.stream.write(LAST_CHUNK)
@@ -158,7 +158,7 @@
     def lose(self, refusal: Refusal, *, in_order: bool) -> None:
         """Note that the connection ended.
 
-        :param in_order: whether the server closed it rather than reset it
+        :param in_order: whether the server closed it; otherwise it was reset or lost
         """
         if self._is_over:
             return
@@ -168,7 +168,7 @@
             self.fail(refusal)
 
     def fail(self, refusal: Refusal) -> None:
-        """End the exchange without a whole answer and close its connection."""
+        """End the exchange without a complete answer and close its connection."""
         if self._is_over:
             return
         sent = self._may_have_been_read()
@@ -177,7 +177,7 @@
         self._failed(ExchangeEnd(sent=sent, refusal=refusal))
 
     def abandon(self) -> None:
-        """Close the connection without telling anybody; it cancels the request."""
+        """Cancel the request by closing the connection, without calling ``failed``."""
         if not self._is_over:
             self._is_over = True
             self.release(False)
@@ -207,22 +207,22 @@
 
 @dataclass(kw_only=True, slots=True)
 class IdleTrust:
-    """How long idle connections are taken to be open still, over all pools.
+    """Limit on the idle time of reused connections, shared by all pools.
 
-    Backend servers may drop idle connections without notice; what is sent next is
-    reset, and whether it ran is not known then.
+    Backend servers may drop idle connections without notice; a request sent on one
+    is reset, and whether it ran is then unknown.
 
-    :param limit: seconds, infinite while none was found dropped
-    :param until: monotonic second until which the limit holds
+    :param limit: seconds, infinite until a dropped connection was found
+    :param until: monotonic second until which the limit applies
     """
 
     limit: float = float("inf")
     until: float = float("-inf")
 
     def note_dropped(self, idle: float, now: float) -> bool:
-        """Learn from a connection that was dropped after ``idle`` seconds.
+        """Lower the limit after a connection was dropped when idle for ``idle`` seconds.
 
-        :returns: whether idle connections are trusted less than before
+        :returns: whether the limit is lower than before
         """
         before = self.find_limit(now)
         self.limit = min(before, max(LEAST_TRUST_SECONDS, idle / 2))
@@ -230,7 +230,7 @@
         return self.limit < before
 
     def find_limit(self, now: float) -> float:
-        """Find the seconds after which an idle connection is not used again."""
+        """Return the seconds after which an idle connection is not reused."""
         return self.limit if now < self.until else float("inf")
 
 
@@ -238,8 +238,8 @@
 class Pool:
     """Connections to one address.
 
-    :param limit: connections open at once at most
-    :param trust: how long idle connections are used again
+    :param limit: largest number of open connections
+    :param trust: how long idle connections are reused
     """
 
     address: str
@@ -252,8 +252,8 @@
     def run(self, exchange: Exchange, *, fresh: bool) -> None:
         """Run an exchange on an idle connection or a new one.
 
-        :param fresh: whether a long idle connection must not be used, because
-            the server may close it at the moment of sending
+        :param fresh: whether to avoid connections that have been idle for long,
+            since the server may close them at the moment of sending
         """
         connection = self._take_idle(fresh=fresh)
         if connection is not None:
@@ -338,7 +338,7 @@
         if connection.exchange is not None:
             connection.exchange.receive(data)
             return
-        # Nothing was asked, so these bytes cannot belong to any caller.
+        # No request is in progress, so these bytes answer none.
         if connection in self.idle:
             self.idle.remove(connection)
         self._discard(connection)
@@ -363,7 +363,7 @@
             return
         if self.trust.note_dropped(idle, now):
             logger.info(
-                "pools: an idle connection had been dropped; idle ones are trusted less",
+                "pools: an idle connection had been dropped; others are reused for less time",
                 address=self.address,
                 idle_seconds=round(idle, 3),
                 trusted_seconds=round(self.trust.limit, 3),
@@ -379,7 +379,7 @@
         self._pools: dict[str, Pool] = {}
 
     def find(self, address: str, *, limit: int) -> Pool:
-        """Find the pool of an address, making it on first use."""
+        """Return the pool of an address, created on first use."""
         pool = self._pools.get(address)
         if pool is None:
             pool = Pool(address=address, streams=self._streams, limit=limit, trust=self._trust)
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/framework.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/framework.py
@@ -4,8 +4,8 @@
 
 import sys
 
-# The framework asks it for a namespace only, and does without where it is missing;
-# importing it takes a quarter of a daemon's start.
+# The framework uses it only to declare a namespace, and works without it; its import
+# takes a quarter of a daemon's start.
 sys.modules.setdefault("pkg_resources", None)  # type: ignore[arg-type]
 
 from circuits import BaseComponent, Component, handler  # noqa: E402
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/gateway.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/gateway.py
@@ -1,4 +1,4 @@
-"""Between the request pipeline's orders and the connections that carry them out."""
+"""Carries out the orders of the request pipeline on connections and peers."""
 
 from __future__ import annotations
 
@@ -39,13 +39,13 @@
 
 @dataclass(kw_only=True)
 class PendingCall:
-    """The bytes that belong to a call in progress.
+    """Request, answer and connections of a call in progress.
 
     :param target: path and query
-    :param body_ended: whether ``body`` is all of it
-    :param relay_started: whether part of an answer went out already
-    :param peer: peer that it was handed to
-    :param next_part: number of the next part expected from that peer
+    :param body_ended: whether ``body`` is complete
+    :param relay_started: whether part of an answer was sent already
+    :param peer: peer that the call was forwarded to
+    :param next_part: number of the next answer part expected from that peer
     """
 
     call: Call
@@ -74,9 +74,9 @@
 
     :param decide: the request pipeline
     :param dialect: how the system's own headers are read and written
-    :param keep_limit: bytes of an answer body that are held back until it is whole
+    :param keep_limit: bytes of an answer body that are buffered before relaying starts
     :param call_after: calls a function after a delay
-    :param remember_limit: bytes of an answer body that are kept for a key
+    :param remember_limit: largest answer body, in bytes, that is stored for a key
     """
 
     def __init__(
@@ -125,27 +125,27 @@
         }
 
     def add_sinks(self, sinks: dict[type, Callable[[Message], None]]) -> None:
-        """Let other parts carry out further kinds of orders."""
+        """Register functions that carry out further kinds of orders."""
         self._sinks.update(sinks)
 
     def allocate_id(self) -> int:
-        """Take the next call id; ids of earlier runs never come again."""
+        """Return the next call id; ids of earlier runs are not reused."""
         self._next_id += 1
         return self._next_id
 
     def admit(self, pending: PendingCall) -> None:
-        """Let the pipeline decide on a request."""
+        """Submit a request to the pipeline."""
         self.pending[pending.call.id] = pending
         wall = time.time()
         self.run(messages.CallArrived(now=time.monotonic(), wall=wall, call=pending.call))
 
     def note_disconnect(self, call_id: int) -> None:
-        """Note that nobody waits for the answer any more."""
+        """Note that the caller or peer no longer waits for the answer."""
         pending = self.pending.get(call_id)
         if pending is None:
             return
         if not pending.body_ended and pending.exchange is not None:
-            # The rest of the body will never come.
+            # The rest of the body cannot arrive.
             refusal = Refusal(codes.CALLER_GONE, "the caller left before its body was whole")
             pending.exchange.fail(refusal)
         pending.reply = SILENT_REPLY
@@ -160,24 +160,24 @@
         self.after_run()
 
     def tick(self) -> None:
-        """Let time limits pass."""
+        """Run the time limits that have passed."""
         self.run(messages.Ticked(now=time.monotonic()))
 
     def add_body(self, pending: PendingCall, part: bytes) -> None:
-        """Take a further part of a streamed request body."""
+        """Buffer or send a further part of a streamed request body."""
         if pending.exchange is None:
             pending.body += part
         else:
             pending.exchange.send_part(part)
 
     def end_body(self, pending: PendingCall) -> None:
-        """Note that a streamed request body is whole."""
+        """Note that a streamed request body is complete."""
         pending.body_ended = True
         if pending.exchange is not None:
             pending.exchange.end_body()
 
     def is_body_full(self, pending: PendingCall) -> bool:
-        """Tell whether the request body should wait."""
+        """Return whether reading of the request body should pause."""
         if pending.exchange is None:
             return len(pending.body) > self._keep_limit
         return pending.exchange.is_body_full(self._keep_limit)
@@ -209,7 +209,7 @@
             self._limit(exchange, order)
 
     def _limit(self, exchange: Exchange, order: Dispatch) -> None:
-        # A held call runs on after its caller was answered, but not for ever.
+        # A fenced call continues after its caller was answered; this limits its exchange.
         slow = Refusal(codes.DEADLINE_EXCEEDED, f"{order.server.name} did not answer in time")
         delay = max(0.0, order.deadline - time.monotonic())
         self._call_after(delay=delay, call=lambda: exchange.fail(slow))
@@ -231,7 +231,7 @@
         return encode_request_head(pending.call.method, pending.target, headers)
 
     def _is_own(self, pending: PendingCall, headers: HeaderList) -> bool:
-        """Read an answer's headers, and tell whether it is to this request."""
+        """Read an answer's headers and return whether it answers this request."""
         terms = self.dialect.read_answer(headers)
         if terms.request_id is None or terms.request_id == pending.call.request_id:
             pending.terms = terms
@@ -270,7 +270,7 @@
                 pending.exchange.stream.pause()
 
     def resume_answer(self, call_id: int) -> None:
-        """Read on from the backend server after the reply had been full."""
+        """Resume reading from the backend server after the reply was full."""
         pending = self.pending.get(call_id)
         if pending is not None and pending.exchange is not None:
             if pending.exchange.stream is not None:
@@ -308,7 +308,10 @@
     def finish_peer_answer(
         self, pending: PendingCall, peer: str, complete_answer: StoredAnswer | None
     ) -> None:
-        """Take the end of an answer that a peer handed back."""
+        """Note that a peer's answer is complete.
+
+        :param complete_answer: ``None`` when it was relayed in parts
+        """
         pending.peer = None
         pending.complete_answer = complete_answer
         message = messages.PeerAnswered(
@@ -320,7 +323,7 @@
         self.run(message)
 
     def finish_peer_refusal(self, pending: PendingCall, peer: str, refusal: Refusal) -> None:
-        """Take a peer's own answer to a call that was handed to it."""
+        """Note that a peer refused a call that was forwarded to it."""
         pending.peer = None
         message = messages.PeerAnswered(
             now=time.monotonic(), call_id=pending.call.id, peer=peer, refusal=refusal
@@ -328,7 +331,7 @@
         self.run(message)
 
     def fail_peer(self, call_id: int, peer: str, *, sent: bool) -> None:
-        """Note that the peer that a call was handed to cannot be reached."""
+        """Note that the peer that a call was forwarded to cannot be reached."""
         pending = self.pending.get(call_id)
         if pending is None or pending.peer != peer:
             return
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/http_server.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/http_server.py
@@ -1,4 +1,4 @@
-"""Small HTTP server for documents, on the loop's streams."""
+"""Small HTTP server on the loop's streams."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 class HttpRequest:
     """One request.
 
-    :param connection: the connection it came on
+    :param connection: the connection it arrived on
     :param on_disconnect: called when the connection ends before the answer
     """
 
@@ -46,7 +46,7 @@
         return dict(parse_qsl(self.head.target.partition("?")[2]))
 
     def find_header(self, name: bytes) -> str | None:
-        """Find the first value of a header."""
+        """Return the first value of a header by its lower-case name."""
         for each, value in self.head.headers:
             if each == name:
                 return value.decode("latin-1")
@@ -86,7 +86,7 @@
         self.stream.close()
 
     def finish(self) -> None:
-        """Take the answered request off and answer the next."""
+        """Remove the answered request."""
         if self._requests:
             self._requests.pop(0)
 
@@ -112,7 +112,7 @@
 class HttpServer:
     """Answers requests on one address.
 
-    :param answer: called with each whole request
+    :param answer: called with each complete request
     """
 
     def __init__(
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/log_output.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/log_output.py
@@ -22,12 +22,12 @@
 
 
 class LineBuffer:
-    """Lines for standard output that never block the loop.
+    """Buffer of lines for standard output, whose writes never block the loop.
 
-    What the reader does not take waits here; the oldest lines are kept and
-    newer ones dropped and counted, since the first ones tell the cause.
+    When the buffer is full, newer lines are dropped and counted; the oldest ones
+    are kept, since they show the cause.
 
-    :param descriptor: where the lines go
+    :param descriptor: file descriptor that the lines are written to
     """
 
     def __init__(self, *, descriptor: int) -> None:
@@ -38,7 +38,7 @@
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> None:
-        """Take a line or a part of one."""
+        """Buffer a line or a part of one."""
         if len(self._lines) >= BUFFERED_LINES:
             self.dropped += 1
             self.count_dropped(1)
@@ -46,10 +46,10 @@
         self._lines.append(text.encode("utf-8", "replace"))
 
     def flush(self) -> None:
-        """Do nothing; the timer service writes the lines."""
+        """Do nothing; ``write_out`` is called by a timer."""
 
     def write_out(self) -> None:
-        """Write what the reader takes."""
+        """Write buffered lines until the descriptor would block."""
         for _ in range(LINES_PER_FLUSH):
             if not self._lines:
                 return
@@ -59,7 +59,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody will ever read them.
+                # The descriptor cannot be written any more.
                 self._lines.clear()
                 return
             self._lines.clear()
@@ -69,7 +69,7 @@
 
 
 def set_up_logging(level: str) -> LineBuffer:
-    """Write JSON lines to standard output, from a level on."""
+    """Log JSON lines of a level and above to standard output."""
     buffer = LineBuffer(descriptor=sys.stdout.fileno())
     structlog.configure(
         processors=[
@@ -87,7 +87,7 @@
 
 
 def make_decision_writer(daemon: str) -> Callable[[Decision, str], None]:
-    """Make the sink that writes each decision as one line."""
+    """Build the sink that logs each decision as one line."""
     logger = structlog.get_logger(daemon=daemon)
 
     def write(decision: Decision, request: str = "") -> None:
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/polling.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/polling.py
@@ -16,15 +16,15 @@
 
 __all__ = ["DirectPoller", "Watch"]
 
-# The loop's own events wait at most so long.
+# The loop's own events wait at most this long.
 SLICE_SECONDS = 0.05
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Watch:
-    """Functions to call when something happens on a descriptor.
+    """Functions to call for events on a descriptor.
 
-    :param lost: called when the other side is gone and nothing is left to read
+    :param lost: called when the remote side has closed and nothing remains to be read
     """
 
     read: Callable[[], None]
@@ -33,7 +33,7 @@
 
 
 class _Descriptors(set):
-    """Set with the list methods that the library uses; lookups stay constant."""
+    """Set with the list methods that the library uses, for lookups in constant time."""
 
     append = set.add
 
@@ -42,7 +42,7 @@
     """EPoll poller that calls watched descriptors and due timers without an event.
 
     An event for each read would cost more than the read itself. The loop's own
-    events get their turn whenever there are any, and at least once in a slice.
+    events are handled whenever there are any, and at least once in a slice.
     Descriptors that are not watched get events as usual.
 
     :param timers: the timer service that the loop runs
@@ -60,9 +60,9 @@
         self._write = _Descriptors(self._write)
 
     def watch(self, source: object, fd: Any, watch: Watch, *, writes: bool = False) -> None:
-        """Call functions for a descriptor that is read from now on.
+        """Call functions when a descriptor is readable.
 
-        :param writes: whether ``write`` is called too, as soon as there is room
+        :param writes: whether ``write`` is called too, when it is writable
         """
         self._watches[fd] = watch
         self._targets[fd] = getattr(source, "channel", "*")
@@ -72,7 +72,7 @@
         self._updateRegistration(fd)
 
     def discard(self, fd: Any) -> None:
-        """Forget a descriptor."""
+        """Unregister a descriptor."""
         self._watches.pop(fd, None)
         super().discard(fd)
 
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/reloading.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/reloading.py
@@ -1,4 +1,4 @@
-"""Settings that changed while a daemon runs."""
+"""Check of the settings file while a daemon runs."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 
 def make_reload(path: Path, settings: FrontSettings) -> Callable[[], None]:
-    """Make the function that compares the file with the settings in force.
+    """Build the function that compares the file with the settings in force.
 
-    Addresses and limits hold from start to end of a process, so a change is only
-    checked and told; it is in force from the next start.
+    Addresses and limits are fixed for the life of a process, so a change is only
+    checked and logged; it is in force from the next start.
 
     :param path: file that the settings were read from
     """
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/replies.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/replies.py
@@ -1,11 +1,11 @@
-"""How an answer reaches whoever asked, a caller or a peer."""
+"""Answers, and the functions that send one to a caller or a peer."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-# Needed at run time, since kept answers are decoded by their annotations.
+# Needed at run time, since stored answers are decoded by their annotations.
 from dotterelgate_daemon.codec import HeaderList
 
 if TYPE_CHECKING:
@@ -18,10 +18,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StoredAnswer:
-    """A whole answer that fits in memory.
+    """A complete answer that is held in memory.
 
-    :param server: backend server that gave it
-    :param length: stated size of the body, which an answer to HEAD does not carry
+    :param server: backend server that sent it
+    :param length: declared size of the body, which an answer to HEAD does not contain
     """
 
     status: int
@@ -33,9 +33,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AnswerStart:
-    """Head of an answer that is passed on while it arrives.
+    """Head of an answer that is relayed while it arrives.
 
-    :param length: bytes of the body, or ``None`` when that is not known
+    :param length: bytes of the body, or ``None`` when unknown
     """
 
     status: int
@@ -48,13 +48,13 @@
 class Reply:
     """Functions that answer one request.
 
-    :param send_whole: answer at once
+    :param send_whole: send a complete answer
     :param begin: start an answer in parts
-    :param part: pass on a part
-    :param end: say that the answer is whole
-    :param cut: say that the answer will not be whole
+    :param part: send a part of the body
+    :param end: end an answer in parts
+    :param cut: abort an answer in parts
     :param refuse: answer with a result code
-    :param is_full: whether parts should wait
+    :param is_full: return whether further parts should wait
     """
 
     send_whole: Callable[[StoredAnswer], None]
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/running.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/running.py
@@ -17,9 +17,9 @@
 
 
 class Daemon(Component):
-    """Root component; runs until it is told to stop.
+    """Root component; runs until it is stopped.
 
-    :param lines: log lines that wait to be written
+    :param lines: buffer of log lines
     :param reload: called on SIGHUP, on the loop
     """
 
@@ -39,7 +39,7 @@
         signal.signal(signal.SIGHUP, lambda signo, frame: timers.call_after(delay=0.0, call=reload))
 
     def run_to_end(self) -> None:
-        """Run the loop, then write out the last lines."""
+        """Run the loop, then write the remaining log lines."""
         self.run()
         if self._lines is not None:
             self._lines.write_out()
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/stopping.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/stopping.py
@@ -1,4 +1,4 @@
-"""Graceful stop: leave nothing in progress behind."""
+"""Graceful stop of a daemon."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 
 
 class GracefulStop:
-    """Carries a daemon from the first signal to its end.
+    """Stops a daemon in steps.
 
     Callers are served while the platform's balancer still sends them; then the
-    listener closes; then what is in progress ends and every leased range is
+    listener closes; then requests in progress end and every leased range is
     handed over; then the process ends.
 
-    :param linger: seconds that the balancer may still send callers
-    :param limit: seconds until the process ends whatever is left
-    :param announce_stopping: tells the peers
+    :param linger: seconds for which the balancer may still send callers
+    :param limit: seconds until the process ends regardless of what is in progress
+    :param announce_stopping: notifies the peers
     :param count_held: counts leases that are not handed over yet
-    :param retire: lets go of leases that cannot be handed over
+    :param retire: releases leases that cannot be handed over
     :param finish: ends the loop
     """
 
@@ -68,7 +68,7 @@
         self._is_ending = False
 
     def begin(self) -> None:
-        """Begin to stop; a second signal changes nothing."""
+        """Start to stop; a second signal has no effect."""
         if self._began_at is not None:
             return
         self._began_at = time.monotonic()
@@ -88,14 +88,14 @@
         if not self._is_closed or self._is_ending:
             return
         if waited >= self._limit * RETIRE_SHARE:
-            # Ranges that cannot be handed over must take no further requests.
+            # Ranges that cannot be handed over must accept no further requests.
             self._retire()
         left = self._list_left()
         if left and waited < self._limit:
             return
         if left:
             logger.warning("stopping: the limit is reached", left=left)
-        # Answers on their way to peers and callers still have to leave the process.
+        # Answers to peers and callers may still be buffered in the process.
         self._timers.call_after(delay=FLUSH_SECONDS, call=self._end)
         self._is_ending = True
 
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/store_assembly.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/store_assembly.py
@@ -1,4 +1,4 @@
-"""One daemon that follows a platform's keyed store, put together from its parts."""
+"""Construction of the daemon that reads a platform's keyed store."""
 
 from __future__ import annotations
 
@@ -52,10 +52,10 @@
 
 CONTROL_TICK_SECONDS = 0.02
 HEARTBEAT_SECONDS = 0.24
-# Callers that connect at the start wait so long for the first read of the store; it takes
-# some tens of milliseconds where the store answers.
+# Callers that connect at the start wait at most this long for the first read of the store,
+# which takes some tens of milliseconds while the store answers.
 FIRST_READ_SECONDS = 0.3
-# Loads go to the other availability zones this often; bytes between zones cost.
+# Loads are sent to the other availability zones this often; bytes between zones cost.
 RELAY_SECONDS = 0.06
 
 
@@ -67,9 +67,9 @@
     lines: LineBuffer | None = None,
     reload: Callable[[], None] = lambda: None,
 ) -> Daemon:
-    """Build a daemon; it listens already but has read nothing.
+    """Build a daemon; it listens already but has not read the store yet.
 
-    :param calls: how the store is asked
+    :param calls: how calls of the store are encoded and decoded
     :param dialect: how the system's own headers are read and written
     :param reload: called on SIGHUP
     :raises OSError: when an address cannot be bound
@@ -106,7 +106,7 @@
 
 
 def _serve_when_ready(base: CommonParts) -> None:
-    """Take requests once they can be served; tell callers the truth if that takes long."""
+    """Accept callers once requests can be served; after the time limit they are refused."""
     latest = time.monotonic() + FIRST_READ_SECONDS
 
     def look() -> None:
@@ -184,7 +184,7 @@
         self.mesh.note_changes()
 
     def start(self) -> None:
-        """Begin to read, to tick and to be heard."""
+        """Start reading the store, ticking and sending heartbeats."""
         timers = self._base.timers
         timers.subscribe(interval=CONTROL_TICK_SECONDS, call=self._tick)
         timers.subscribe(interval=HEARTBEAT_SECONDS, call=self.mesh.send_heartbeats)
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/streams.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/streams.py
@@ -24,7 +24,7 @@
 HIGH_WATER_BYTES = 262_144
 BACKLOG = 1024
 ACCEPTS_PER_EVENT = 64
-# A connection whose other side fell silent is given up after about two seconds,
+# A connection whose remote side stops responding is closed after about two seconds,
 # within the time in which a change must be in force.
 KEEPALIVE_SECONDS = 1
 KEEPALIVE_PROBES = 2
@@ -44,7 +44,7 @@
 
 
 def set_options(sock: socket.socket) -> None:
-    """Send small writes at once, and notice a silent other side."""
+    """Send small writes at once, and detect a remote side that stops responding."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_SECONDS)
@@ -57,7 +57,7 @@
     """One TCP connection.
 
     :param receive: called with bytes as they arrive
-    :param lost: called once when the connection ended for any reason
+    :param lost: called once when the remote side or the network ended the connection
     :param ready: called once when an opened connection is established
     """
 
@@ -90,7 +90,7 @@
         return self._pending_bytes > HIGH_WATER_BYTES
 
     def write(self, data: bytes) -> None:
-        """Send now what the kernel takes, and the rest later."""
+        """Send what the kernel accepts now, and buffer the rest."""
         if not self.is_open:
             return
         if not self._pending and self.ready is None:
@@ -125,7 +125,7 @@
             self._service.start_reading(self)
 
     def flush(self) -> None:
-        """Send what waits; called when the kernel has room."""
+        """Send buffered bytes; called when the socket is writable."""
         if self.ready is not None and not self._establish():
             return
         while self._pending and self.is_open:
@@ -145,7 +145,7 @@
             self.drained()
 
     def read(self) -> None:
-        """Pass on what the kernel has."""
+        """Read once and call ``receive``; called when the socket is readable."""
         if not self.is_open or self._paused:
             return
         try:
@@ -162,7 +162,7 @@
             self.end()
 
     def end(self) -> None:
-        """Close because the other side or the network ended the connection."""
+        """Close because the remote side or the network ended the connection."""
         if self.is_open:
             self.close()
             self.lost()
@@ -208,7 +208,7 @@
 
     @staticmethod
     def bind(address: str) -> socket.socket:
-        """Listen on ``IP:port``; connections wait with the kernel until they are accepted.
+        """Listen on ``IP:port``; connections wait in the kernel until they are accepted.
 
         :raises OSError: when the address cannot be bound
         """
@@ -226,7 +226,7 @@
         self._poller.watch(self, sock, watch)
 
     def stop_listening(self, sock: socket.socket) -> None:
-        """Close a listener; connections that are established already stay."""
+        """Accept the connections that wait, then close the listener."""
         if sock in self._listeners:
             self._accept(sock)
         if self._listeners.pop(sock, None) is not None:
@@ -240,7 +240,7 @@
         receive: Callable[[bytes], None],
         lost: Callable[[], None],
     ) -> Stream:
-        """Take in an accepted connection."""
+        """Make a stream of an accepted connection."""
         sock.setblocking(False)
         set_options(sock)
         stream = Stream(sock=sock, service=self, receive=receive, lost=lost)
@@ -271,26 +271,26 @@
         return stream
 
     def drop(self, stream: Stream) -> None:
-        """Forget a stream and close its socket."""
+        """Unregister a stream and close its socket."""
         self._poller.discard(stream.sock)
         stream.sock.close()
 
     def watch_writes(self, stream: Stream) -> None:
-        """Call ``flush`` when the kernel has room."""
+        """Call ``flush`` when the socket is writable."""
         if not self._poller.isWriting(stream.sock):
             self._poller.addWriter(self, stream.sock)
 
     def unwatch_writes(self, stream: Stream) -> None:
-        """Call ``flush`` no more."""
+        """Stop calling ``flush``."""
         if self._poller.isWriting(stream.sock):
             self._poller.removeWriter(stream.sock)
 
     def stop_reading(self, stream: Stream) -> None:
-        """Leave arriving bytes with the kernel."""
+        """Leave arriving bytes in the kernel's buffer."""
         self._poller.removeReader(stream.sock)
 
     def start_reading(self, stream: Stream) -> None:
-        """Take arriving bytes from the kernel again."""
+        """Read arriving bytes again."""
         self._poller.addReader(self, stream.sock)
 
     def _watch(self, stream: Stream, *, writes: bool) -> None:
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/timers.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/timers.py
@@ -1,4 +1,4 @@
-"""Timer service that the other parts subscribe to."""
+"""Timers, and detection of pauses of the process."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class PauseWatch:
-    """Notices that the process or its VM was paused.
+    """Detects that the process or its VM was paused.
 
-    A paused process does not know it, and what it reads first afterwards may
-    have waited as long. The boot clock also counts while the VM is suspended, and
-    unlike the time of day nobody sets it.
+    What a process reads first after a pause may have waited for its whole length.
+    The boot clock also advances while the VM is suspended and, unlike the wall
+    clock, is never set.
     """
 
     def __init__(self) -> None:
@@ -30,7 +30,7 @@
         self._paused_until = float("-inf")
 
     def beat(self) -> None:
-        """Say that the loop is running; called at a short interval."""
+        """Note that the loop is running; called at a short interval."""
         gap = self._find_gap()
         self._beat = self._read_clocks()
         if gap > PAUSE_SECONDS:
@@ -38,7 +38,7 @@
             self._paused_until = time.monotonic()
 
     def measure(self) -> float:
-        """Measure how long something read now may have waited, in seconds."""
+        """Return how many seconds data read now may have waited."""
         gap = self._find_gap()
         if gap > PAUSE_SECONDS:
             return gap
@@ -62,9 +62,9 @@
         self._due: list[tuple[float, int, Callable[[], None]]] = []
 
     def subscribe(self, *, interval: float, call: Callable[[], None]) -> None:
-        """Call a function every ``interval`` seconds, late ones once.
+        """Call a function every ``interval`` seconds; missed calls are made up by one.
 
-        Intervals that divide each other fall due together, which saves wake-ups.
+        Timers whose intervals divide each other fall due together, which saves wake-ups.
         """
 
         def repeat() -> None:
@@ -85,7 +85,7 @@
         heapq.heappush(self._due, (at, next(self._order), call))
 
     def run_due(self) -> float:
-        """Call what is due.
+        """Call the functions that are due.
 
         :returns: seconds until the next call
         """
