--- a/features/subjects/exchange.py
+++ b/features/subjects/exchange.py
@@ -74,7 +74,7 @@
         self.lost = lost
         self.is_open = True
         self.is_full = False
-        self.ended_in_order = False
+        self.received_eof = False
         self.drained = None
 
     def close(self):
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/assembly.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/assembly.py
@@ -82,12 +82,12 @@
         linger=settings.stop_linger,
         limit=settings.stop_limit,
         state=base.state,
-        gate=base.gate,
+        caller_server=base.caller_server,
         gateway=base.gateway,
         timers=base.timers,
         announce_stopping=parts.follower.announce_stopping,
         finish=daemon.stop,
-        count_held=lambda: _count_held(base.state),
+        count_leases=lambda: _count_leases(base.state),
         retire=lambda: _retire(base.state),
     ).begin
     for component in (base.poller, parts.links):
@@ -103,7 +103,7 @@
     return daemon
 
 
-def _count_held(state: DaemonState) -> int:
+def _count_leases(state: DaemonState) -> int:
     if not state.peers.listed or state.leases.is_retired:
         return 0
     held = sum(lease.tenure is not None for lease in state.leases.leases.values())
@@ -155,7 +155,7 @@
         address=settings.peers,
         poller=base.poller,
         metrics=metrics,
-        receive=lambda message: _receive(receivers, message),
+        receive=lambda message: _deliver_message(receivers, message),
     )
     peering = Peering(
         name=settings.name,
@@ -193,7 +193,7 @@
     receivers.extend((peering.receive, follower.receive, key_transfer.receive))
     log, vms = _build_platform(settings, base, follower)
     follower.log = log
-    base.gate.open(settings.callers)
+    base.caller_server.open(settings.callers)
     return Parts(
         settings=settings,
         base=base,
@@ -207,7 +207,7 @@
     )
 
 
-def _receive(receivers: list, message: PeerMessage) -> None:
+def _deliver_message(receivers: list, message: PeerMessage) -> None:
     for receive in receivers:
         if receive(message):
             return
@@ -228,11 +228,11 @@
             channel=channel,
         )
 
-    def lose_log(reason: str) -> None:
+    def note_log_failure(reason: str) -> None:
         logger.warning("following: the log cannot be read", reason=reason)
         follower.request_records()
 
-    def lose_vms(reason: str) -> None:
+    def note_vms_failure(reason: str) -> None:
         logger.warning("following: the list of VMs cannot be read", reason=reason)
 
     log = LogClient(
@@ -240,10 +240,10 @@
         begin=follower.begin,
         take=follower.take_record,
         read=follower.take_position,
-        lost=lose_log,
+        lost=note_log_failure,
     )
     vms = VmListClient(
-        client=make_client(settings.vms, "vms"), take=follower.take_vms, lost=lose_vms
+        client=make_client(settings.vms, "vms"), take=follower.take_vms, lost=note_vms_failure
     )
     return log, vms
 
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/callers.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/callers.py
@@ -31,37 +31,37 @@
     from dotterelgate_daemon.gateway import Gateway
     from dotterelgate_daemon.replies import AnswerStart, StoredAnswer
     from dotterelgate_daemon.streams import StreamService
-    from dotterelgate_daemon.timers import PauseWatch
+    from dotterelgate_daemon.timers import PauseDetector
 
-__all__ = ["CallerGate"]
+__all__ = ["CallerServer"]
 
-PIPELINE_LIMIT = 8
+MAX_PIPELINED_REQUESTS = 8
 # A request sent on a connection that was accepted or answered just now may not have
 # arrived yet; closing earlier would cut it off.
-CROSSING_SECONDS = 0.3
+TRANSIT_SECONDS = 0.3
 
 
 @dataclass(kw_only=True)
-class _Incoming:
+class _IncomingRequest:
     """A request that may still be arriving.
 
-    :param ended: whether the body is complete
+    :param is_complete: whether the body is complete
     """
 
     head: RequestHead
     body: bytearray = field(default_factory=bytearray)
-    ended: bool = False
+    is_complete: bool = False
     unread_wait: float = 0.0
     pending: PendingCall | None = None
 
 
-class CallerGate:
+class CallerServer:
     """Accepts callers and passes their requests to the gateway.
 
     :param head_limit: largest request head, in bytes
     :param body_limit: bytes of a request body that are buffered; larger bodies are streamed
     :param connection_limit: largest number of open connections
-    :param watch: measures how long a request may have waited unread
+    :param pause_detector: measures how long a request may have waited unread
     """
 
     def __init__(
@@ -72,10 +72,10 @@
         head_limit: int,
         body_limit: int,
         connection_limit: int,
-        watch: PauseWatch,
+        pause_detector: PauseDetector,
     ) -> None:
         self.streams = streams
-        self.watch = watch
+        self.pause_detector = pause_detector
         self.gateway = gateway
         self.head_limit = head_limit
         self.body_limit = body_limit
@@ -122,82 +122,84 @@
         if len(self.connections) >= self._connection_limit:
             sock.close()
             return
-        self.connections.add(_Connection(gate=self, sock=sock))
+        self.connections.add(_Connection(server=self, sock=sock))
 
 
 class _Connection:
     """One caller's connection."""
 
-    def __init__(self, *, gate: CallerGate, sock: socket.socket) -> None:
-        self._gate = gate
-        self._stream = gate.streams.adopt(sock=sock, receive=self._receive, lost=self._lose)
+    def __init__(self, *, server: CallerServer, sock: socket.socket) -> None:
+        self._server = server
+        self._stream = server.streams.adopt(
+            sock=sock, receive=self._receive, lost=self._note_disconnect
+        )
         self._stream.drained = self._resume_answer
-        self._waiting: deque[_Incoming] = deque()
-        self._arriving: _Incoming | None = None
-        self._current: _Incoming | None = None
+        self._waiting: deque[_IncomingRequest] = deque()
+        self._arriving: _IncomingRequest | None = None
+        self._current: _IncomingRequest | None = None
         self._refusal: Refusal | None = None
         self._chunked = False
         self._unread_wait = 0.0
         self.idle_since = time.monotonic()
         self._reader = RequestReader(
-            head_limit=gate.head_limit,
+            head_limit=server.head_limit,
             begin=self._begin,
-            body=self._take_body,
+            body=self._receive_body,
             end=self._end_body,
-            refuse=self._refuse_bytes,
+            refuse=self._refuse_invalid,
         )
 
     def close_if_idle(self) -> None:
         """Close unless a request is in progress or may be in transit."""
-        if time.monotonic() - self.idle_since < CROSSING_SECONDS:
+        if time.monotonic() - self.idle_since < TRANSIT_SECONDS:
             return
         if self._current is None and self._arriving is None:
             self._stream.close_when_sent()
-            self._gate.connections.discard(self)
+            self._server.connections.discard(self)
 
     def _receive(self, data: bytes) -> None:
-        self._unread_wait = self._gate.watch.measure()
+        self._unread_wait = self._server.pause_detector.measure()
         self._reader.feed(data)
-        self._hold_back()
+        self._pause_if_full()
 
-    def _lose(self) -> None:
-        self._gate.connections.discard(self)
+    def _note_disconnect(self) -> None:
+        self._server.connections.discard(self)
         current, self._current = self._current, None
         self._waiting.clear()
         if current is not None and current.pending is not None:
-            self._gate.gateway.note_disconnect(current.pending.call.id)
+            self._server.gateway.note_disconnect(current.pending.call.id)
 
     def _begin(self, head: RequestHead) -> None:
-        self._arriving = _Incoming(head=head, unread_wait=self._unread_wait)
+        self._arriving = _IncomingRequest(head=head, unread_wait=self._unread_wait)
         self._waiting.append(self._arriving)
         if head.expects_continue and len(self._waiting) == 1 and self._current is None:
             self._stream.write(CONTINUE)
 
-    def _take_body(self, part: bytes) -> None:
+    def _receive_body(self, part: bytes) -> None:
         arriving = self._arriving
         assert arriving is not None
         if arriving.pending is not None:
-            self._gate.gateway.add_body(arriving.pending, part)
+            self._server.gateway.add_body(arriving.pending, part)
             return
         arriving.body += part
-        if len(arriving.body) > self._gate.body_limit:
+        if len(arriving.body) > self._server.body_limit:
             self._start_next()
 
     def _end_body(self) -> None:
         arriving, self._arriving = self._arriving, None
         assert arriving is not None
-        arriving.ended = True
+        arriving.is_complete = True
         if arriving.pending is not None:
-            self._gate.gateway.end_body(arriving.pending)
+            self._server.gateway.end_body(arriving.pending)
         self._start_next()
 
-    def _refuse_bytes(self, code: ResultCode, reason: str) -> None:
+    def _refuse_invalid(self, code: ResultCode, reason: str) -> None:
         self._refusal = Refusal(code, reason)
         arriving = self._arriving
         if arriving is not None and arriving.pending is not None:
-            self._gate.gateway.note_disconnect(arriving.pending.call.id)
+            self._server.gateway.note_disconnect(arriving.pending.call.id)
             self._stream.close()
-            self._gate.connections.discard(self)
+            self._server.connections.discard(self)
             return
         if arriving is not None and arriving in self._waiting:
             self._waiting.remove(arriving)
@@ -210,8 +212,8 @@
             self._answer_refusal()
             return
         incoming = self._waiting[0]
-        streamed = not incoming.ended
-        if streamed and len(incoming.body) <= self._gate.body_limit:
+        streamed = not incoming.is_complete
+        if streamed and len(incoming.body) <= self._server.body_limit:
             return
         self._waiting.popleft()
         self._current = incoming
@@ -222,9 +224,9 @@
             return
         self._write_refusal(self._refusal, keep_alive=False, method="")
         self._stream.close_when_sent()
-        self._gate.connections.discard(self)
+        self._server.connections.discard(self)
 
-    def _submit(self, incoming: _Incoming, *, streamed: bool) -> None:
+    def _submit(self, incoming: _IncomingRequest, *, streamed: bool) -> None:
         call = self._build_call(incoming, streamed=streamed)
         if isinstance(call, Refusal):
             self._refuse(call)
@@ -235,27 +237,27 @@
             target=incoming.head.target,
             headers=self._list_headers(incoming.head),
             body=incoming.body,
-            body_ended=incoming.ended,
-            length=len(incoming.body) if incoming.ended and length is None else length,
+            body_ended=incoming.is_complete,
+            length=len(incoming.body) if incoming.is_complete and length is None else length,
             reply=self._make_reply(),
             arrived=time.monotonic(),
             resume_caller=self._stream.resume,
         )
-        self._gate.gateway.admit(incoming.pending)
+        self._server.gateway.admit(incoming.pending)
 
-    def _build_call(self, incoming: _Incoming, *, streamed: bool) -> Call | Refusal:
+    def _build_call(self, incoming: _IncomingRequest, *, streamed: bool) -> Call | Refusal:
         head = incoming.head
-        terms = self._gate.gateway.dialect.read_request(head.headers)
+        terms = self._server.gateway.dialect.read_request(head.headers)
         if isinstance(terms, Refusal):
             return terms
         host = (find_header(head.headers, b"host") or b"").decode("latin-1")
         return Call(
-            id=self._gate.gateway.allocate_id(),
+            id=self._server.gateway.allocate_id(),
             method=head.method,
             host=host.rsplit(":", 1)[0].lower(),
             path=unquote(head.target.partition("?")[0]),
             key=terms.key,
-            fingerprint=_digest(head, incoming.body) if terms.key is not None else 0,
+            fingerprint=_compute_fingerprint(head, incoming.body) if terms.key is not None else 0,
             timeout=terms.timeout,
             streamed=streamed,
             retried=terms.retried,
@@ -276,14 +278,14 @@
             begin=self._begin_answer,
             part=self._send_part,
             end=self._end_answer,
-            cut=self._cut,
+            cut=self._abort,
             refuse=self._refuse,
             is_full=lambda: self._stream.is_full,
         )
 
     def _keeps_alive(self) -> bool:
         assert self._current is not None
-        if self._gate.is_stopping or not self._current.ended:
+        if self._server.is_stopping or not self._current.is_complete:
             return False
         return self._current.head.keep_alive
 
@@ -305,8 +307,8 @@
         self._stream.write(encode_answer_head(start.status, headers))
 
     def _list_answer_headers(self, headers: HeaderList, server: str) -> HeaderList:
-        listed = [*headers, *self._gate.gateway.dialect.write_answer(server)]
-        listed.append((b"dotterelgate-daemon", self._gate.gateway.name.encode("latin-1")))
+        listed = [*headers, *self._server.gateway.dialect.write_answer(server)]
+        listed.append((b"dotterelgate-daemon", self._server.gateway.name.encode("latin-1")))
         if not self._keeps_alive():
             listed.append((b"connection", b"close"))
         return listed
@@ -319,11 +321,11 @@
             self._stream.write(LAST_CHUNK)
         self._finish()
 
-    def _cut(self) -> None:
+    def _abort(self) -> None:
         # In HTTP, closing before the declared end marks an incomplete answer.
         self._current = None
         self._stream.close()
-        self._gate.connections.discard(self)
+        self._server.connections.discard(self)
 
     def _refuse(self, refusal: Refusal) -> None:
         assert self._current is not None
@@ -336,8 +338,8 @@
         headers = [
             (b"content-type", b"text/plain; charset=utf-8"),
             (b"content-length", b"%d" % len(body)),
-            *self._gate.gateway.dialect.write_refusal(refusal),
-            (b"dotterelgate-daemon", self._gate.gateway.name.encode("latin-1")),
+            *self._server.gateway.dialect.write_refusal(refusal),
+            (b"dotterelgate-daemon", self._server.gateway.name.encode("latin-1")),
         ]
         if not keep_alive:
             headers.append((b"connection", b"close"))
@@ -350,30 +352,30 @@
         self.idle_since = time.monotonic()
         if not keep_alive:
             self._stream.close_when_sent()
-            self._gate.connections.discard(self)
+            self._server.connections.discard(self)
             return
         self._stream.resume()
         self._start_next()
 
-    def _hold_back(self) -> None:
-        if len(self._waiting) >= PIPELINE_LIMIT:
+    def _pause_if_full(self) -> None:
+        if len(self._waiting) >= MAX_PIPELINED_REQUESTS:
             self._stream.pause()
         arriving = self._arriving
         if arriving is None or not self._stream.is_open:
             return
         if arriving.pending is None:
-            full = self._current is not None and len(arriving.body) > self._gate.body_limit
+            full = self._current is not None and len(arriving.body) > self._server.body_limit
         else:
-            full = self._gate.gateway.is_body_full(arriving.pending)
+            full = self._server.gateway.is_body_full(arriving.pending)
         if full:
             self._stream.pause()
 
     def _resume_answer(self) -> None:
         if self._current is not None and self._current.pending is not None:
-            self._gate.gateway.resume_answer(self._current.pending.call.id)
+            self._server.gateway.resume_answer(self._current.pending.call.id)
 
 
-def _digest(head: RequestHead, body: bytearray) -> int:
+def _compute_fingerprint(head: RequestHead, body: bytearray) -> int:
     digest = xxhash.xxh3_64(f"{head.method} {head.target}\n".encode())
     digest.update(bytes(body))
     return digest.intdigest()
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/codec.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/codec.py
@@ -206,7 +206,7 @@
     :param begin: called with the head
     :param body: called with each part of the body
     :param end: called when the answer is complete
-    :param is_own: returns whether headers belong to the expected answer;
+    :param matches_request: returns whether headers belong to the expected answer;
         other answers are skipped, and the connection is not reused
     :param takes_unframed: whether the end of the connection may end the body
     """
@@ -218,41 +218,41 @@
         begin: Callable[[AnswerHead], None],
         body: Callable[[bytes], None],
         end: Callable[[], None],
-        is_own: Callable[[HeaderList], bool] = lambda headers: True,
+        matches_request: Callable[[HeaderList], bool] = lambda headers: True,
         takes_unframed: bool = False,
     ) -> None:
-        self._is_own = is_own
+        self._matches_request = matches_request
         self._takes_unframed = takes_unframed
-        self._is_unframed = False
-        self._is_foreign = False
+        self._is_close_delimited = False
+        self._is_mismatched = False
         self._method = method
         self._begin = begin
         self._body = body
         self._end = end
         self._parser = httptools.HttpResponseParser(self)
         self._headers: HeaderList = []
-        self._is_whole = False
-        self._is_tainted = False
+        self._is_complete = False
+        self._had_mismatch = False
         self.problem: str | None = None
         self.may_reuse = True
 
     def feed(self, data: bytes) -> None:
         """Read bytes as they arrive; sets ``problem`` when the answer is not valid."""
-        if self._is_whole:
+        if self._is_complete:
             self.may_reuse = False
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
             self.may_reuse = False
-            if not self._is_whole:
+            if not self._is_complete:
                 self.problem = str(error) or "not a valid answer"
 
     def on_message_begin(self) -> None:
         """Library callback."""
         self._headers = []
-        self._is_foreign = False
-        if self._is_whole:
+        self._is_mismatched = False
+        if self._is_complete:
             self.may_reuse = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -262,11 +262,11 @@
     def on_headers_complete(self) -> None:
         """Library callback."""
         status = self._parser.get_status_code()
-        if self._is_whole or self.problem or status < _FIRST_FINAL_STATUS:
+        if self._is_complete or self.problem or status < _FIRST_FINAL_STATUS:
             return
-        if not self._is_own(self._headers):
-            self._is_foreign = True
-            self._is_tainted = True
+        if not self._matches_request(self._headers):
+            self._is_mismatched = True
+            self._had_mismatch = True
             return
         chunked = find_header(self._headers, b"transfer-encoding") is not None
         length = find_header(self._headers, b"content-length")
@@ -275,8 +275,8 @@
             if not self._takes_unframed:
                 self.problem = "neither Content-Length nor chunked, so a cut could not be told"
                 return
-            self._is_unframed = True
-        self.may_reuse = self._parser.should_keep_alive() and not self._is_tainted
+            self._is_close_delimited = True
+        self.may_reuse = self._parser.should_keep_alive() and not self._had_mismatch
         head = AnswerHead(
             status=status,
             headers=self._headers,
@@ -291,31 +291,31 @@
 
     def on_body(self, part: bytes) -> None:
         """Library callback."""
-        if not self._is_whole and not self.problem and not self._is_foreign:
+        if not self._is_complete and not self.problem and not self._is_mismatched:
             self._body(part)
 
     def on_message_complete(self) -> None:
         """Library callback."""
         if self.problem or self._parser.get_status_code() < _FIRST_FINAL_STATUS:
             return
-        if self._is_foreign:
+        if self._is_mismatched:
             return
-        if not self._is_whole:
+        if not self._is_complete:
             self._finish()
 
-    def close(self) -> bool:
+    def note_eof(self) -> bool:
         """Note that the server closed the connection.
 
         :returns: whether that completed the answer
         """
-        if not self._is_unframed or self._is_whole or self.problem:
+        if not self._is_close_delimited or self._is_complete or self.problem:
             return False
         self.may_reuse = False
         self._finish()
         return True
 
     def _finish(self) -> None:
-        self._is_whole = True
+        self._is_complete = True
         self._end()
 
 
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/common_parts.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/common_parts.py
@@ -7,14 +7,14 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from dotterelgate_daemon.callers import CallerGate
+from dotterelgate_daemon.callers import CallerServer
 from dotterelgate_daemon.exchanges import PoolTable
 from dotterelgate_daemon.gateway import Gateway
 from dotterelgate_daemon.log_output import make_decision_writer
 from dotterelgate_daemon.metrics import Metrics
 from dotterelgate_daemon.polling import DirectPoller
 from dotterelgate_daemon.streams import StreamService
-from dotterelgate_daemon.timers import PauseWatch, TimerService
+from dotterelgate_daemon.timers import PauseDetector, TimerService
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -30,10 +30,10 @@
 
 CALL_ID_BITS = 40
 TICK_SECONDS = 0.02
-PAUSE_BEAT_SECONDS = 0.04
+PAUSE_CHECK_SECONDS = 0.04
 HOUSEKEEPING_SECONDS = 1.0
-LOG_SECONDS = 0.1
-REMEMBERED_BODY_BYTES = 16_384
+LOG_WRITE_SECONDS = 0.1
+STORED_BODY_BYTES = 16_384
 
 
 @dataclass(kw_only=True)
@@ -47,7 +47,7 @@
     pools: PoolTable
     metrics: Metrics
     gateway: Gateway
-    gate: CallerGate
+    caller_server: CallerServer
     write_decision: Callable[[Decision, str], None]
 
 
@@ -67,7 +67,7 @@
     write_decision = make_decision_writer(settings.name)
     timers = TimerService()
     poller = DirectPoller(timers=timers)
-    watch = PauseWatch()
+    pause_detector = PauseDetector()
     metrics = Metrics()
     streams = StreamService(poller=poller)
     pools = PoolTable(streams=streams)
@@ -77,34 +77,34 @@
         dialect=dialect,
         pools=pools,
         metrics=metrics,
-        keep_limit=settings.kept_body_limit,
-        remember_limit=REMEMBERED_BODY_BYTES,
+        buffer_limit=settings.kept_body_limit,
+        stored_body_limit=STORED_BODY_BYTES,
         first_call_id=random.SystemRandom().getrandbits(CALL_ID_BITS) << 16,
         count_daemons=lambda: 1 + len(state.peers.listed),
         on_decision=write_decision,
         call_after=timers.call_after,
     )
     metrics.in_flight.set_function(lambda: len(gateway.pending))
-    gate = CallerGate(
+    caller_server = CallerServer(
         streams=streams,
         gateway=gateway,
         head_limit=settings.head_limit,
         body_limit=settings.kept_body_limit,
         connection_limit=settings.caller_connections,
-        watch=watch,
+        pause_detector=pause_detector,
     )
-    timers.subscribe(interval=PAUSE_BEAT_SECONDS, call=watch.beat)
+    timers.subscribe(interval=PAUSE_CHECK_SECONDS, call=pause_detector.check)
     timers.subscribe(interval=TICK_SECONDS, call=gateway.tick)
     if lines is not None:
         lines.count_dropped = metrics.log_lines_dropped.inc
-        timers.subscribe(interval=LOG_SECONDS, call=lines.write_out)
+        timers.subscribe(interval=LOG_WRITE_SECONDS, call=lines.write_out)
 
     def close_idle_connections() -> None:
         now = time.monotonic()
         pools.close_idle(older_than=now - settings.connection_idle)
         current = state.configuration.current
         if current is not None and current.limits is not None:
-            gate.close_idle(older_than=now - current.limits.idle_seconds)
+            caller_server.close_idle(older_than=now - current.limits.idle_seconds)
 
     timers.subscribe(interval=HOUSEKEEPING_SECONDS, call=close_idle_connections)
     return CommonParts(
@@ -115,6 +115,6 @@
         pools=pools,
         metrics=metrics,
         gateway=gateway,
-        gate=gate,
+        caller_server=caller_server,
         write_decision=write_decision,
     )
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/exchanges.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/exchanges.py
@@ -28,12 +28,12 @@
 CLOSE_MARGIN_SECONDS = 1.0
 # After a dropped idle connection was found, others are reused for half of the time that
 # it was idle, but at least this long.
-LEAST_TRUST_SECONDS = 0.1
+MIN_REUSE_SECONDS = 0.1
 # A dropped connection is reset immediately; a later loss has another cause.
 RESET_SECONDS = 0.05
 # Backend servers that drop idle connections early do so for some seconds (6 to 7 s in the
 # platform's site files).
-DISTRUST_SECONDS = 10.0
+REDUCED_REUSE_SECONDS = 10.0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -59,7 +59,7 @@
     :param whole: called once when the answer is complete
     :param failed: called once when the answer cannot be completed
     :param drained: called when more of the request's body can be sent
-    :param is_own: returns whether headers belong to the answer to this request
+    :param matches_request: returns whether headers belong to the answer to this request
     :param takes_unframed: whether the end of the connection may end the answer's body
     """
 
@@ -76,11 +76,11 @@
         whole: Callable[[], None],
         failed: Callable[[ExchangeEnd], None],
         drained: Callable[[], None] | None = None,
-        is_own: Callable[[HeaderList], bool] = lambda headers: True,
+        matches_request: Callable[[HeaderList], bool] = lambda headers: True,
         takes_unframed: bool = False,
     ) -> None:
         self._head = head
-        self._first = bytearray(body)
+        self._initial_body = bytearray(body)
         self._drained = drained
         self._body_ended = body_ended
         self._chunked = chunked
@@ -91,15 +91,15 @@
             begin=begin,
             body=part,
             end=self._finish,
-            is_own=is_own,
+            matches_request=matches_request,
             takes_unframed=takes_unframed,
         )
         self.idle_seconds: float | None = None
         self.has_answered = False
         self.started_at = 0.0
-        self._is_over = False
-        self._is_whole = False
-        self._base = 0
+        self._is_ended = False
+        self._is_complete = False
+        self._sent_before = 0
         self.stream: Stream | None = None
         self.release: Callable[[bool], None] = lambda reuse: None
 
@@ -107,11 +107,11 @@
         """Send the request on an established stream."""
         self.stream = stream
         self.started_at = time.monotonic()
-        self._base = stream.sent_bytes
-        first = bytes(self._first)
+        self._sent_before = stream.sent_bytes
+        body = bytes(self._initial_body)
         data = self._head
-        if first:
-            data += encode_chunk(first) if self._chunked else first
+        if body:
+            data += encode_chunk(body) if self._chunked else body
         if self._body_ended and self._chunked:
             data += LAST_CHUNK
         stream.drained = self._drained
@@ -121,10 +121,10 @@
 
     def send_part(self, part: bytes) -> None:
         """Send a further part of the request's body."""
-        if self._is_over:
+        if self._is_ended:
             return
         if self.stream is None:
-            self._first += part
+            self._initial_body += part
         else:
             self.stream.write(encode_chunk(part) if self._chunked else part)
 
@@ -134,64 +134,64 @@
         :param limit: bytes that are buffered until the connection is established
         """
         if self.stream is None:
-            return len(self._first) > limit
+            return len(self._initial_body) > limit
         return self.stream.is_full
 
     def end_body(self) -> None:
         """Note that the request's body is complete."""
         self._body_ended = True
-        if self.stream is not None and self._chunked and not self._is_over:
+        if self.stream is not None and self._chunked and not self._is_ended:
             self.stream.write(LAST_CHUNK)
 
     def receive(self, data: bytes) -> None:
         """Read bytes of the answer."""
-        if self._is_over:
+        if self._is_ended:
             return
         self.has_answered = True
         self._reader.feed(data)
-        if self._is_whole:
+        if self._is_complete:
             self._complete()
         elif self._reader.problem is not None:
             refusal = Refusal(codes.ANSWER_INVALID, f"invalid answer: {self._reader.problem}")
             self.fail(refusal)
 
-    def lose(self, refusal: Refusal, *, in_order: bool) -> None:
+    def note_disconnect(self, refusal: Refusal, *, received_eof: bool) -> None:
         """Note that the connection ended.
 
-        :param in_order: whether the server closed it; otherwise it was reset or lost
+        :param received_eof: whether the server closed it; otherwise it was reset or lost
         """
-        if self._is_over:
+        if self._is_ended:
             return
-        if in_order and self._reader.close():
+        if received_eof and self._reader.note_eof():
             self._complete()
         else:
             self.fail(refusal)
 
     def fail(self, refusal: Refusal) -> None:
         """End the exchange without a complete answer and close its connection."""
-        if self._is_over:
+        if self._is_ended:
             return
         sent = self._may_have_been_read()
-        self._is_over = True
+        self._is_ended = True
         self.release(False)
         self._failed(ExchangeEnd(sent=sent, refusal=refusal))
 
     def abandon(self) -> None:
         """Cancel the request by closing the connection, without calling ``failed``."""
-        if not self._is_over:
-            self._is_over = True
+        if not self._is_ended:
+            self._is_ended = True
             self.release(False)
 
     def _may_have_been_read(self) -> bool:
         if self.stream is None:
             return False
-        return self.stream.sent_bytes - self._base >= len(self._head)
+        return self.stream.sent_bytes - self._sent_before >= len(self._head)
 
     def _finish(self) -> None:
-        self._is_whole = True
+        self._is_complete = True
 
     def _complete(self) -> None:
-        self._is_over = True
+        self._is_ended = True
         self.release(self._reader.may_reuse and self._body_ended)
         self._whole()
 
@@ -202,21 +202,21 @@
     exchange: Exchange | None = None
     idle_since: float = 0.0
     idle_seconds: float | None = None
-    was_idle: float | None = None
+    idle_before_use: float | None = None
 
 
 @dataclass(kw_only=True, slots=True)
-class IdleTrust:
+class IdleReuseLimit:
     """Limit on the idle time of reused connections, shared by all pools.
 
     Backend servers may drop idle connections without notice; a request sent on one
     is reset, and whether it ran is then unknown.
 
-    :param limit: seconds, infinite until a dropped connection was found
+    :param seconds: the limit, infinite until a dropped connection was found
     :param until: monotonic second until which the limit applies
     """
 
-    limit: float = float("inf")
+    seconds: float = float("inf")
     until: float = float("-inf")
 
     def note_dropped(self, idle: float, now: float) -> bool:
@@ -225,13 +225,13 @@
         :returns: whether the limit is lower than before
         """
         before = self.find_limit(now)
-        self.limit = min(before, max(LEAST_TRUST_SECONDS, idle / 2))
-        self.until = now + DISTRUST_SECONDS
-        return self.limit < before
+        self.seconds = min(before, max(MIN_REUSE_SECONDS, idle / 2))
+        self.until = now + REDUCED_REUSE_SECONDS
+        return self.seconds < before
 
     def find_limit(self, now: float) -> float:
         """Return the seconds after which an idle connection is not reused."""
-        return self.limit if now < self.until else float("inf")
+        return self.seconds if now < self.until else float("inf")
 
 
 @dataclass(kw_only=True)
@@ -239,13 +239,13 @@
     """Connections to one address.
 
     :param limit: largest number of open connections
-    :param trust: how long idle connections are reused
+    :param reuse_limit: how long idle connections are reused
     """
 
     address: str
     streams: StreamService
     limit: int
-    trust: IdleTrust = field(default_factory=IdleTrust)
+    reuse_limit: IdleReuseLimit = field(default_factory=IdleReuseLimit)
     idle: list[_Connection] = field(default_factory=list)
     open_count: int = 0
 
@@ -255,7 +255,7 @@
         :param fresh: whether to avoid connections that have been idle for long,
             since the server may close them at the moment of sending
         """
-        connection = self._take_idle(fresh=fresh)
+        connection = self._pop_idle(fresh=fresh)
         if connection is not None:
             self._attach(connection, exchange)
             assert connection.stream is not None
@@ -273,20 +273,20 @@
                 self._discard(connection)
         self.idle = keep
 
-    def _take_idle(self, *, fresh: bool) -> _Connection | None:
+    def _pop_idle(self, *, fresh: bool) -> _Connection | None:
         while self.idle:
             connection = self.idle.pop()
             now = time.monotonic()
             idle = now - connection.idle_since
-            limit = self._limit_idle(connection, fresh=fresh)
-            if idle <= min(limit, self.trust.find_limit(now)):
-                connection.was_idle = idle
+            limit = self._find_idle_limit(connection, fresh=fresh)
+            if idle <= min(limit, self.reuse_limit.find_limit(now)):
+                connection.idle_before_use = idle
                 return connection
             self._discard(connection)
         return None
 
     @staticmethod
-    def _limit_idle(connection: _Connection, *, fresh: bool) -> float:
+    def _find_idle_limit(connection: _Connection, *, fresh: bool) -> float:
         if connection.idle_seconds is not None:
             return connection.idle_seconds - CLOSE_MARGIN_SECONDS
         return REUSE_FOR_WRITES_SECONDS if fresh else float("inf")
@@ -308,7 +308,7 @@
             address=self.address,
             ready=ready,
             receive=lambda data: self._receive(connection, data),
-            lost=lambda: self._lose(connection),
+            lost=lambda: self._note_disconnect(connection),
         )
         if connection.stream is None:
             self.open_count -= 1
@@ -343,30 +343,30 @@
             self.idle.remove(connection)
         self._discard(connection)
 
-    def _lose(self, connection: _Connection) -> None:
+    def _note_disconnect(self, connection: _Connection) -> None:
         self.open_count -= 1
         if connection in self.idle:
             self.idle.remove(connection)
         if connection.exchange is None:
             return
         exchange, connection.exchange = connection.exchange, None
-        self._learn_trust(connection, exchange)
-        in_order = connection.stream is not None and connection.stream.ended_in_order
-        word = "closed" if in_order else "reset or lost"
-        refusal = Refusal(codes.ANSWER_LOST, f"{self.address} {word} the connection")
-        exchange.lose(refusal, in_order=in_order)
-
-    def _learn_trust(self, connection: _Connection, exchange: Exchange) -> None:
-        idle = connection.was_idle
+        self._lower_reuse_limit(connection, exchange)
+        received_eof = connection.stream is not None and connection.stream.received_eof
+        cause = "closed" if received_eof else "reset or lost"
+        refusal = Refusal(codes.ANSWER_LOST, f"{self.address} {cause} the connection")
+        exchange.note_disconnect(refusal, received_eof=received_eof)
+
+    def _lower_reuse_limit(self, connection: _Connection, exchange: Exchange) -> None:
+        idle = connection.idle_before_use
         now = time.monotonic()
         if idle is None or exchange.has_answered or now - exchange.started_at > RESET_SECONDS:
             return
-        if self.trust.note_dropped(idle, now):
+        if self.reuse_limit.note_dropped(idle, now):
             logger.info(
                 "pools: an idle connection had been dropped; others are reused for less time",
                 address=self.address,
                 idle_seconds=round(idle, 3),
-                trusted_seconds=round(self.trust.limit, 3),
+                trusted_seconds=round(self.reuse_limit.seconds, 3),
             )
 
 
@@ -375,14 +375,16 @@
 
     def __init__(self, *, streams: StreamService) -> None:
         self._streams = streams
-        self._trust = IdleTrust()
+        self._reuse_limit = IdleReuseLimit()
         self._pools: dict[str, Pool] = {}
 
     def find(self, address: str, *, limit: int) -> Pool:
         """Return the pool of an address, created on first use."""
         pool = self._pools.get(address)
         if pool is None:
-            pool = Pool(address=address, streams=self._streams, limit=limit, trust=self._trust)
+            pool = Pool(
+                address=address, streams=self._streams, limit=limit, reuse_limit=self._reuse_limit
+            )
             self._pools[address] = pool
         pool.limit = limit
         return pool
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/gateway.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/gateway.py
@@ -17,7 +17,7 @@
 )
 from dotterelgate_daemon.dialect import DispatchTerms
 from dotterelgate_daemon.exchanges import Exchange
-from dotterelgate_daemon.replies import SILENT_REPLY, AnswerStart, StoredAnswer
+from dotterelgate_daemon.replies import NULL_REPLY, AnswerStart, StoredAnswer
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -58,7 +58,7 @@
     arrived: float
     exchange: Exchange | None = None
     start: AnswerStart | None = None
-    answer: bytearray = field(default_factory=bytearray)
+    answer_body: bytearray = field(default_factory=bytearray)
     status: int = 0
     terms: AnswerTerms | None = None
     relay_started: bool = False
@@ -74,9 +74,9 @@
 
     :param decide: the request pipeline
     :param dialect: how the system's own headers are read and written
-    :param keep_limit: bytes of an answer body that are buffered before relaying starts
+    :param buffer_limit: bytes of an answer body that are buffered before relaying starts
     :param call_after: calls a function after a delay
-    :param remember_limit: largest answer body, in bytes, that is stored for a key
+    :param stored_body_limit: largest answer body, in bytes, that is stored for a key
     """
 
     def __init__(
@@ -87,8 +87,8 @@
         dialect: Dialect,
         pools: PoolTable,
         metrics: Metrics,
-        keep_limit: int,
-        remember_limit: int,
+        buffer_limit: int,
+        stored_body_limit: int,
         first_call_id: int,
         count_daemons: Callable[[], int],
         on_decision: Callable[[messages.Decision, str], None],
@@ -106,8 +106,8 @@
         self._decide = decide
         self._pools = pools
         self._metrics = metrics
-        self._keep_limit = keep_limit
-        self._remember_limit = remember_limit
+        self._buffer_limit = buffer_limit
+        self._stored_body_limit = stored_body_limit
         self._next_id = first_call_id
         self._count_daemons = count_daemons
         self._on_decision = on_decision
@@ -119,7 +119,7 @@
             messages.Relay: self._relay,
             messages.Replay: self._replay,
             messages.RefuseCall: self._refuse,
-            messages.ReleaseCall: self._forget,
+            messages.ReleaseCall: self._release,
             messages.Decision: self._write_decision,
             AnnounceLeaving: lambda order: self.announce_leaving(order),
         }
@@ -148,7 +148,7 @@
             # The rest of the body cannot arrive.
             refusal = Refusal(codes.CALLER_GONE, "the caller left before its body was whole")
             pending.exchange.fail(refusal)
-        pending.reply = SILENT_REPLY
+        pending.reply = NULL_REPLY
         self.run(messages.CallerDisconnected(now=time.monotonic(), call_id=call_id))
 
     def run(self, message: Message) -> None:
@@ -179,8 +179,8 @@
     def is_body_full(self, pending: PendingCall) -> bool:
         """Return whether reading of the request body should pause."""
         if pending.exchange is None:
-            return len(pending.body) > self._keep_limit
-        return pending.exchange.is_body_full(self._keep_limit)
+            return len(pending.body) > self._buffer_limit
+        return pending.exchange.is_body_full(self._buffer_limit)
 
     def _dispatch(self, order: Dispatch) -> None:
         pending = self.pending[order.call_id]
@@ -193,11 +193,11 @@
             body_ended=pending.body_ended,
             chunked=pending.length is None,
             begin=lambda head: self._begin_answer(pending, head, server.name),
-            part=lambda part: self._take_answer(pending, part),
+            part=lambda part: self._receive_part(pending, part),
             whole=lambda: self._finish_answer(pending, server.name),
             failed=lambda end: self._fail_answer(pending, server.name, end),
             drained=pending.resume_caller if pending.call.streamed else None,
-            is_own=lambda headers: self._is_own(pending, headers),
+            matches_request=lambda headers: self._matches_request(pending, headers),
             takes_unframed=self.dialect.takes_unframed,
         )
         pending.exchange = exchange
@@ -206,13 +206,13 @@
         pool = self._pools.find(server.address, limit=limit)
         pool.run(exchange, fresh=not order.idempotent)
         if order.fence is not None:
-            self._limit(exchange, order)
+            self._schedule_timeout(exchange, order)
 
-    def _limit(self, exchange: Exchange, order: Dispatch) -> None:
+    def _schedule_timeout(self, exchange: Exchange, order: Dispatch) -> None:
         # A fenced call continues after its caller was answered; this limits its exchange.
-        slow = Refusal(codes.DEADLINE_EXCEEDED, f"{order.server.name} did not answer in time")
+        refusal = Refusal(codes.DEADLINE_EXCEEDED, f"{order.server.name} did not answer in time")
         delay = max(0.0, order.deadline - time.monotonic())
-        self._call_after(delay=delay, call=lambda: exchange.fail(slow))
+        self._call_after(delay=delay, call=lambda: exchange.fail(refusal))
 
     def _encode_head(self, pending: PendingCall, order: Dispatch) -> bytes:
         headers = select_end_to_end(pending.headers, self.dialect.control)
@@ -230,7 +230,7 @@
             headers.append((b"content-length", b"%d" % pending.length))
         return encode_request_head(pending.call.method, pending.target, headers)
 
-    def _is_own(self, pending: PendingCall, headers: HeaderList) -> bool:
+    def _matches_request(self, pending: PendingCall, headers: HeaderList) -> bool:
         """Read an answer's headers and return whether it answers this request."""
         terms = self.dialect.read_answer(headers)
         if terms.request_id is None or terms.request_id == pending.call.request_id:
@@ -253,18 +253,18 @@
             status=head.status, headers=headers, length=head.length, server=server
         )
 
-    def _take_answer(self, pending: PendingCall, part: bytes) -> None:
+    def _receive_part(self, pending: PendingCall, part: bytes) -> None:
         if pending.relay_started:
             pending.reply.part(part)
         else:
-            pending.answer += part
-            if len(pending.answer) <= self._keep_limit or _is_not_run(pending):
+            pending.answer_body += part
+            if len(pending.answer_body) <= self._buffer_limit or _is_not_run(pending):
                 return
             assert pending.start is not None
             pending.relay_started = True
             pending.reply.begin(pending.start)
-            pending.reply.part(bytes(pending.answer))
-            pending.answer.clear()
+            pending.reply.part(bytes(pending.answer_body))
+            pending.answer_body.clear()
         if pending.reply.is_full() and pending.exchange is not None:
             if pending.exchange.stream is not None:
                 pending.exchange.stream.pause()
@@ -280,7 +280,7 @@
         assert pending.start is not None and pending.terms is not None
         pending.exchange = None
         if not pending.relay_started:
-            pending.complete_answer = _keep(pending.start, pending.answer)
+            pending.complete_answer = _build_stored_answer(pending.start, pending.answer_body)
         message = messages.ServerAnswered(
             now=time.monotonic(),
             wall=time.time(),
@@ -289,7 +289,7 @@
             status=pending.status,
             ran=not pending.terms.not_run,
             report=pending.terms.report,
-            stored_answer=self._remember(pending.complete_answer),
+            stored_answer=self._select_storable(pending.complete_answer),
         )
         self.run(message)
 
@@ -318,7 +318,7 @@
             now=time.monotonic(),
             call_id=pending.call.id,
             peer=peer,
-            stored_answer=self._remember(complete_answer),
+            stored_answer=self._select_storable(complete_answer),
         )
         self.run(message)
 
@@ -372,8 +372,8 @@
         else:
             assert pending.complete_answer is not None
             pending.reply.send_whole(pending.complete_answer)
-        self._write_end(pending, f"answered by {order.source}", status=pending.status)
-        self._count(pending, codes.OK.name)
+        self._log_outcome(pending, f"answered by {order.source}", status=pending.status)
+        self._count_answer(pending, codes.OK.name)
 
     def _replay(self, order: messages.Replay) -> None:
         pending = self.pending.pop(order.call_id, None)
@@ -381,7 +381,7 @@
             return
         assert isinstance(order.stored_answer, StoredAnswer)
         pending.reply.send_whole(order.stored_answer)
-        self._count(pending, codes.OK.name)
+        self._count_answer(pending, codes.OK.name)
 
     def _refuse(self, order: messages.RefuseCall) -> None:
         pending = self.pending.get(order.call_id)
@@ -391,7 +391,7 @@
             pending.reply.cut()
         else:
             pending.reply.refuse(order.refusal)
-        self._write_end(
+        self._log_outcome(
             pending,
             f"refused with {order.refusal.code.name}: {order.refusal.reason}",
             status=order.refusal.code.status,
@@ -399,19 +399,19 @@
             retry_after=order.refusal.retry_after,
         )
         if order.awaits_answer:
-            pending.reply = SILENT_REPLY
+            pending.reply = NULL_REPLY
         else:
             del self.pending[order.call_id]
-        self._count(pending, order.refusal.code.name)
+        self._count_answer(pending, order.refusal.code.name)
 
-    def _forget(self, order: messages.ReleaseCall) -> None:
+    def _release(self, order: messages.ReleaseCall) -> None:
         self.pending.pop(order.call_id, None)
 
     def _write_decision(self, decision: messages.Decision) -> None:
         pending = self.pending.get(decision.call_id) if decision.call_id is not None else None
         self._on_decision(decision, pending.call.request_id if pending is not None else "")
 
-    def _write_end(self, pending: PendingCall, sentence: str, **facts: object) -> None:
+    def _log_outcome(self, pending: PendingCall, sentence: str, **facts: object) -> None:
         elapsed = round((time.monotonic() - pending.arrived) * MILLISECONDS, 1)
         decision = messages.Decision(
             part="gateway",
@@ -421,19 +421,19 @@
         )
         self._on_decision(decision, pending.call.request_id)
 
-    def _count(self, pending: PendingCall, result: str) -> None:
+    def _count_answer(self, pending: PendingCall, result: str) -> None:
         self._metrics.answers.labels(result=result).inc()
         self._metrics.latency.observe(time.monotonic() - pending.arrived)
 
     def _reset_answer(self, pending: PendingCall) -> None:
         pending.start = None
-        pending.answer.clear()
+        pending.answer_body.clear()
         pending.terms = None
         pending.complete_answer = None
         pending.next_part = 0
 
-    def _remember(self, complete_answer: StoredAnswer | None) -> StoredAnswer | None:
-        if complete_answer is None or len(complete_answer.body) > self._remember_limit:
+    def _select_storable(self, complete_answer: StoredAnswer | None) -> StoredAnswer | None:
+        if complete_answer is None or len(complete_answer.body) > self._stored_body_limit:
             return None
         return complete_answer
 
@@ -442,7 +442,7 @@
     return pending.terms is not None and pending.terms.not_run
 
 
-def _keep(start: AnswerStart, body: bytearray) -> StoredAnswer:
+def _build_stored_answer(start: AnswerStart, body: bytearray) -> StoredAnswer:
     return StoredAnswer(
         status=start.status,
         headers=start.headers,
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/http_server.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/http_server.py
@@ -54,8 +54,8 @@
 
     def answer(self, status: int, body: bytes = b"", headers: HeaderList | None = None) -> None:
         """Answer the request."""
-        listed = [*(headers or []), (b"content-length", b"%d" % len(body))]
-        self.connection.write(encode_answer_head(status, listed))
+        sent_headers = [*(headers or []), (b"content-length", b"%d" % len(body))]
+        self.connection.write(encode_answer_head(status, sent_headers))
         self.connection.write(b"" if self.head.method == "HEAD" else body)
         self.connection.finish()
 
@@ -66,7 +66,7 @@
         self._requests: list[HttpRequest] = []
         self.is_new = True
         self.stream: Stream = server.streams.adopt(
-            sock=sock, receive=self._receive, lost=self._lose
+            sock=sock, receive=self._receive, lost=self._note_disconnect
         )
         self._reader = RequestReader(
             head_limit=HEAD_LIMIT_BYTES,
@@ -102,7 +102,7 @@
     def _refuse(self, _code: ResultCode, _reason: str) -> None:
         self.close()
 
-    def _lose(self) -> None:
+    def _note_disconnect(self) -> None:
         self._server.connections.discard(self)
         for request in self._requests:
             if request.on_disconnect is not None:
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/log_output.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/log_output.py
@@ -17,8 +17,8 @@
 
 __all__ = ["LineBuffer", "make_decision_writer", "set_up_logging"]
 
-BUFFERED_LINES = 2000
-LINES_PER_FLUSH = 200
+MAX_BUFFERED_LINES = 2000
+MAX_WRITES_PER_FLUSH = 200
 
 
 class LineBuffer:
@@ -39,7 +39,7 @@
 
     def write(self, text: str) -> None:
         """Buffer a line or a part of one."""
-        if len(self._lines) >= BUFFERED_LINES:
+        if len(self._lines) >= MAX_BUFFERED_LINES:
             self.dropped += 1
             self.count_dropped(1)
             return
@@ -50,7 +50,7 @@
 
     def write_out(self) -> None:
         """Write buffered lines until the descriptor would block."""
-        for _ in range(LINES_PER_FLUSH):
+        for _ in range(MAX_WRITES_PER_FLUSH):
             if not self._lines:
                 return
             batch = b"".join(self._lines)
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/polling.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/polling.py
@@ -102,11 +102,11 @@
     def _generate_events(self, event: Any) -> None:
         until = time.monotonic() + SLICE_SECONDS
         while not len(self.root):
-            left = min(self._timers.run_due(), until - time.monotonic())
+            remaining = min(self._timers.run_due(), until - time.monotonic())
             if len(self.root):
                 return
-            for fileno, happened in self._poller.poll(max(0.0, left)):
-                self._process(fileno, happened)
+            for fileno, events in self._poller.poll(max(0.0, remaining)):
+                self._process(fileno, events)
             if time.monotonic() >= until:
                 return
 
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/replies.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/replies.py
@@ -13,7 +13,7 @@
 
     from dotterelgate_core.codes import Refusal
 
-__all__ = ["SILENT_REPLY", "AnswerStart", "Reply", "StoredAnswer"]
+__all__ = ["NULL_REPLY", "AnswerStart", "Reply", "StoredAnswer"]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -70,7 +70,7 @@
     pass
 
 
-SILENT_REPLY = Reply(
+NULL_REPLY = Reply(
     send_whole=_ignore,
     begin=_ignore,
     part=_ignore,
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/stopping.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/stopping.py
@@ -11,7 +11,7 @@
     from collections.abc import Callable
 
     from dotterelgate_core.state import DaemonState
-    from dotterelgate_daemon.callers import CallerGate
+    from dotterelgate_daemon.callers import CallerServer
     from dotterelgate_daemon.gateway import Gateway
     from dotterelgate_daemon.timers import TimerService
 
@@ -34,7 +34,7 @@
     :param linger: seconds for which the balancer may still send callers
     :param limit: seconds until the process ends regardless of what is in progress
     :param announce_stopping: notifies the peers
-    :param count_held: counts leases that are not handed over yet
+    :param count_leases: counts leases that are not handed over yet
     :param retire: releases leases that cannot be handed over
     :param finish: ends the loop
     """
@@ -45,56 +45,56 @@
         linger: float,
         limit: float,
         state: DaemonState,
-        gate: CallerGate,
+        caller_server: CallerServer,
         gateway: Gateway,
         timers: TimerService,
         announce_stopping: Callable[[], None],
         finish: Callable[[], None],
-        count_held: Callable[[], int] = lambda: 0,
+        count_leases: Callable[[], int] = lambda: 0,
         retire: Callable[[], None] = lambda: None,
     ) -> None:
         self._linger = linger
         self._limit = limit
         self._state = state
-        self._gate = gate
+        self._caller_server = caller_server
         self._gateway = gateway
         self._timers = timers
         self._announce_stopping = announce_stopping
-        self._count_held = count_held
+        self._count_leases = count_leases
         self._retire = retire
         self._finish = finish
-        self._began_at: float | None = None
+        self._started_at: float | None = None
         self._is_closed = False
         self._is_ending = False
 
     def begin(self) -> None:
         """Start to stop; a second signal has no effect."""
-        if self._began_at is not None:
+        if self._started_at is not None:
             return
-        self._began_at = time.monotonic()
+        self._started_at = time.monotonic()
         self._state.peers.leaving = True
-        self._gate.is_stopping = True
+        self._caller_server.is_stopping = True
         self._announce_stopping()
         logger.info("stopping: a graceful stop began", in_progress=len(self._gateway.pending))
         self._timers.subscribe(interval=CHECK_SECONDS, call=self._check)
 
     def _check(self) -> None:
-        assert self._began_at is not None
-        waited = time.monotonic() - self._began_at
-        if waited >= self._linger and not self._is_closed:
+        assert self._started_at is not None
+        elapsed = time.monotonic() - self._started_at
+        if elapsed >= self._linger and not self._is_closed:
             self._is_closed = True
-            self._gate.close()
+            self._caller_server.close()
             logger.info("stopping: no new callers are accepted")
         if not self._is_closed or self._is_ending:
             return
-        if waited >= self._limit * RETIRE_SHARE:
+        if elapsed >= self._limit * RETIRE_SHARE:
             # Ranges that cannot be handed over must accept no further requests.
             self._retire()
-        left = self._list_left()
-        if left and waited < self._limit:
+        remaining = self._list_remaining()
+        if remaining and elapsed < self._limit:
             return
-        if left:
-            logger.warning("stopping: the limit is reached", left=left)
+        if remaining:
+            logger.warning("stopping: the limit is reached", left=remaining)
         # Answers to peers and callers may still be buffered in the process.
         self._timers.call_after(delay=FLUSH_SECONDS, call=self._end)
         self._is_ending = True
@@ -103,15 +103,15 @@
         logger.info("stopping: the process ends")
         self._finish()
 
-    def _list_left(self) -> list[str]:
-        left = []
+    def _list_remaining(self) -> list[str]:
+        remaining = []
         if self._gateway.pending:
-            left.append(f"{len(self._gateway.pending)} requests in progress")
-        if self._gate.connections:
-            self._gate.close()
-        if self._gate.connections:
-            left.append(f"{len(self._gate.connections)} connections with requests")
-        held = self._count_held()
-        if held:
-            left.append(f"{held} leases not handed over")
-        return left
+            remaining.append(f"{len(self._gateway.pending)} requests in progress")
+        if self._caller_server.connections:
+            self._caller_server.close()
+        if self._caller_server.connections:
+            remaining.append(f"{len(self._caller_server.connections)} connections with requests")
+        leases = self._count_leases()
+        if leases:
+            remaining.append(f"{leases} leases not handed over")
+        return remaining
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/store_assembly.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/store_assembly.py
@@ -89,7 +89,7 @@
         linger=settings.stop_linger,
         limit=settings.stop_limit,
         state=state,
-        gate=base.gate,
+        caller_server=base.caller_server,
         gateway=base.gateway,
         timers=base.timers,
         announce_stopping=control.mesh.send_heartbeats,
@@ -98,7 +98,7 @@
     base.poller.register(daemon)
     for address in {settings.endpoint, settings.metrics}:
         serve_endpoint(base.streams, address, _build_endpoint(base, incarnation))
-    base.gate.bind(settings.callers)
+    base.caller_server.bind(settings.callers)
     control.start()
     _serve_when_ready(base)
     logger.info("assembly: the daemon starts", daemon=settings.name, incarnation=incarnation)
@@ -107,15 +107,15 @@
 
 def _serve_when_ready(base: CommonParts) -> None:
     """Accept callers once requests can be served; after the time limit they are refused."""
-    latest = time.monotonic() + FIRST_READ_SECONDS
+    deadline = time.monotonic() + FIRST_READ_SECONDS
 
-    def look() -> None:
-        if _is_ready(base.state) or time.monotonic() >= latest:
-            base.gate.start_serving()
+    def check() -> None:
+        if _is_ready(base.state) or time.monotonic() >= deadline:
+            base.caller_server.start_serving()
         else:
-            base.timers.call_after(delay=CONTROL_TICK_SECONDS, call=look)
+            base.timers.call_after(delay=CONTROL_TICK_SECONDS, call=check)
 
-    look()
+    check()
 
 
 def _build_state(settings: StoreDaemonSettings) -> DaemonState:
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/streams.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/streams.py
@@ -76,7 +76,7 @@
         self.ready = ready
         self.drained: Callable[[], None] | None = None
         self.is_open = True
-        self.ended_in_order = False
+        self.received_eof = False
         self.sent_bytes = 0
         self._service = service
         self._pending: deque[bytes] = deque()
@@ -158,7 +158,7 @@
         if data:
             self.receive(data)
         else:
-            self.ended_in_order = True
+            self.received_eof = True
             self.end()
 
     def end(self) -> None:
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/timers.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/timers.py
@@ -10,13 +10,13 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-__all__ = ["PauseWatch", "TimerService"]
+__all__ = ["PauseDetector", "TimerService"]
 
-PAUSE_SECONDS = 0.5
-AFTERMATH_SECONDS = 0.25
+MIN_PAUSE_SECONDS = 0.5
+AFTER_PAUSE_SECONDS = 0.25
 
 
-class PauseWatch:
+class PauseDetector:
     """Detects that the process or its VM was paused.
 
     What a process reads first after a pause may have waited for its whole length.
@@ -25,29 +25,29 @@
     """
 
     def __init__(self) -> None:
-        self._beat = self._read_clocks()
+        self._last_clocks = self._read_clocks()
         self._pause = 0.0
         self._paused_until = float("-inf")
 
-    def beat(self) -> None:
+    def check(self) -> None:
         """Note that the loop is running; called at a short interval."""
-        gap = self._find_gap()
-        self._beat = self._read_clocks()
-        if gap > PAUSE_SECONDS:
+        gap = self._measure_gap()
+        self._last_clocks = self._read_clocks()
+        if gap > MIN_PAUSE_SECONDS:
             self._pause = gap
             self._paused_until = time.monotonic()
 
     def measure(self) -> float:
         """Return how many seconds data read now may have waited."""
-        gap = self._find_gap()
-        if gap > PAUSE_SECONDS:
+        gap = self._measure_gap()
+        if gap > MIN_PAUSE_SECONDS:
             return gap
         since = time.monotonic() - self._paused_until
-        return self._pause if since < AFTERMATH_SECONDS else 0.0
+        return self._pause if since < AFTER_PAUSE_SECONDS else 0.0
 
-    def _find_gap(self) -> float:
+    def _measure_gap(self) -> float:
         boot, now = self._read_clocks()
-        return max(boot - self._beat[0], now - self._beat[1])
+        return max(boot - self._last_clocks[0], now - self._last_clocks[1])
 
     @staticmethod
     def _read_clocks() -> tuple[float, float]:
@@ -58,7 +58,7 @@
     """Calls functions after a delay or at an interval, on the loop's thread."""
 
     def __init__(self) -> None:
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         self._due: list[tuple[float, int, Callable[[], None]]] = []
 
     def subscribe(self, *, interval: float, call: Callable[[], None]) -> None:
@@ -82,7 +82,7 @@
         return (time.monotonic() // interval + 1.0) * interval
 
     def _add(self, at: float, call: Callable[[], None]) -> None:
-        heapq.heappush(self._due, (at, next(self._order), call))
+        heapq.heappush(self._due, (at, next(self._sequence), call))
 
     def run_due(self) -> float:
         """Call the functions that are due.
