--- a/features/subjects/exchange.py
+++ b/features/subjects/exchange.py
@@ -37,7 +37,7 @@
             chunked=False,
             begin=lambda head: None,
             part=lambda part: None,
-            whole=lambda: None,
+            completed=lambda: None,
             failed=ends.append,
         )
         exchange.start(FakeStream(takes))
@@ -111,7 +111,7 @@
             chunked=False,
             begin=lambda head: setattr(exchange, "idle_seconds", 10.0),
             part=lambda part: None,
-            whole=lambda: None,
+            completed=lambda: None,
             failed=self.ends.append,
         )
         before = len(self.streams.opened)
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/exchanges.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/exchanges.py
@@ -56,7 +56,7 @@
     :param chunked: whether the body is sent in chunks
     :param begin: called with the head of the answer
     :param part: called with each part of its body
-    :param whole: called once when the answer is complete
+    :param completed: called once when the answer is complete
     :param failed: called once when the answer cannot be completed
     :param drained: called when more of the request's body can be sent
     :param matches_request: returns whether headers belong to the answer to this request
@@ -73,7 +73,7 @@
         chunked: bool,
         begin: Callable[[AnswerHead], None],
         part: Callable[[bytes], None],
-        whole: Callable[[], None],
+        completed: Callable[[], None],
         failed: Callable[[ExchangeEnd], None],
         drained: Callable[[], None] | None = None,
         matches_request: Callable[[HeaderList], bool] = lambda headers: True,
@@ -84,7 +84,7 @@
         self._drained = drained
         self._body_ended = body_ended
         self._chunked = chunked
-        self._whole = whole
+        self._completed = completed
         self._failed = failed
         self._reader = AnswerReader(
             method=method,
@@ -193,7 +193,7 @@
     def _complete(self) -> None:
         self._is_ended = True
         self.release(self._reader.may_reuse and self._body_ended)
-        self._whole()
+        self._completed()
 
 
 @dataclass(kw_only=True, slots=True)
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/gateway.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/gateway.py
@@ -194,7 +194,7 @@
             chunked=pending.length is None,
             begin=lambda head: self._begin_answer(pending, head, server.name),
             part=lambda part: self._receive_part(pending, part),
-            whole=lambda: self._finish_answer(pending, server.name),
+            completed=lambda: self._finish_answer(pending, server.name),
             failed=lambda end: self._fail_answer(pending, server.name, end),
             drained=pending.resume_caller if pending.call.streamed else None,
             matches_request=lambda headers: self._matches_request(pending, headers),
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/platform.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/platform.py
@@ -107,7 +107,7 @@
             chunked=False,
             begin=lambda head: statuses.append(head.status),
             part=received.extend,
-            whole=lambda: answered(statuses[-1], bytes(received)),
+            completed=lambda: answered(statuses[-1], bytes(received)),
             failed=lambda end: failed(end.refusal.reason),
         )
         self._metrics.control_bytes.labels(channel=self._channel).inc(len(body) + len(path) + 100)
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/prober.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/prober.py
@@ -87,7 +87,7 @@
             chunked=False,
             begin=begin,
             part=lambda part: None,
-            whole=lambda: emit(answered=True),
+            completed=lambda: emit(answered=True),
             failed=lambda end: emit(answered=False),
         )
         pool = self._pools.find(server.address, limit=server.connections)
