--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/codec.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/codec.py
@@ -208,7 +208,7 @@
     :param end: called when the answer is complete
     :param matches_request: returns whether headers belong to the expected answer;
         other answers are skipped, and the connection is not reused
-    :param takes_unframed: whether the end of the connection may end the body
+    :param allows_close_delimited: whether the end of the connection may end the body
     """
 
     def __init__(
@@ -219,10 +219,10 @@
         body: Callable[[bytes], None],
         end: Callable[[], None],
         matches_request: Callable[[HeaderList], bool] = lambda headers: True,
-        takes_unframed: bool = False,
+        allows_close_delimited: bool = False,
     ) -> None:
         self._matches_request = matches_request
-        self._takes_unframed = takes_unframed
+        self._allows_close_delimited = allows_close_delimited
         self._is_close_delimited = False
         self._is_mismatched = False
         self._method = method
@@ -272,7 +272,7 @@
         length = find_header(self._headers, b"content-length")
         has_body = self._method != "HEAD" and status not in _BODYLESS_STATUSES
         if has_body and not chunked and length is None:
-            if not self._takes_unframed:
+            if not self._allows_close_delimited:
                 self.problem = "neither Content-Length nor chunked, so a cut could not be told"
                 return
             self._is_close_delimited = True
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/dialect.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/dialect.py
@@ -74,7 +74,7 @@
     """How the system's own headers are read and written.
 
     :param control: lower-case names of headers that are not forwarded
-    :param takes_unframed: whether the end of the connection may end an answer's body
+    :param allows_close_delimited: whether the end of the connection may end an answer's body
     """
 
     control: frozenset[bytes]
@@ -84,7 +84,7 @@
     write_probe: Callable[[BackendServer, float], HeaderList]
     write_refusal: Callable[[Refusal], HeaderList]
     write_answer: Callable[[str], HeaderList]
-    takes_unframed: bool = False
+    allows_close_delimited: bool = False
 
 
 def _read_request(headers: HeaderList) -> RequestTerms | Refusal:
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/exchanges.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/exchanges.py
@@ -60,7 +60,7 @@
     :param failed: called once when the answer cannot be completed
     :param drained: called when more of the request's body can be sent
     :param matches_request: returns whether headers belong to the answer to this request
-    :param takes_unframed: whether the end of the connection may end the answer's body
+    :param allows_close_delimited: whether the end of the connection may end the answer's body
     """
 
     def __init__(
@@ -77,7 +77,7 @@
         failed: Callable[[ExchangeEnd], None],
         drained: Callable[[], None] | None = None,
         matches_request: Callable[[HeaderList], bool] = lambda headers: True,
-        takes_unframed: bool = False,
+        allows_close_delimited: bool = False,
     ) -> None:
         self._head = head
         self._initial_body = bytearray(body)
@@ -92,7 +92,7 @@
             body=part,
             end=self._finish,
             matches_request=matches_request,
-            takes_unframed=takes_unframed,
+            allows_close_delimited=allows_close_delimited,
         )
         self.idle_seconds: float | None = None
         self.has_answered = False
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/gateway.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/gateway.py
@@ -198,7 +198,7 @@
             failed=lambda end: self._fail_answer(pending, server.name, end),
             drained=pending.resume_caller if pending.call.streamed else None,
             matches_request=lambda headers: self._matches_request(pending, headers),
-            takes_unframed=self.dialect.takes_unframed,
+            allows_close_delimited=self.dialect.allows_close_delimited,
         )
         pending.exchange = exchange
         limit = max(server.slots, server.connections // max(1, self._count_daemons()))
