--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/callers.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/callers.py
@@ -274,7 +274,7 @@
 
     def _make_reply(self) -> Reply:
         return Reply(
-            send_whole=self._send_whole,
+            send_complete=self._send_complete,
             begin=self._begin_answer,
             part=self._send_part,
             end=self._end_answer,
@@ -289,7 +289,7 @@
             return False
         return self._current.head.keep_alive
 
-    def _send_whole(self, answer: StoredAnswer) -> None:
+    def _send_complete(self, answer: StoredAnswer) -> None:
         length = len(answer.body) if answer.body or answer.length is None else answer.length
         headers = self._list_answer_headers(answer.headers, answer.server)
         if answer.status != 204:
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/gateway.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/gateway.py
@@ -371,7 +371,7 @@
             pending.reply.end()
         else:
             assert pending.complete_answer is not None
-            pending.reply.send_whole(pending.complete_answer)
+            pending.reply.send_complete(pending.complete_answer)
         self._log_outcome(pending, f"answered by {order.source}", status=pending.status)
         self._count_answer(pending, codes.OK.name)
 
@@ -380,7 +380,7 @@
         if pending is None:
             return
         assert isinstance(order.stored_answer, StoredAnswer)
-        pending.reply.send_whole(order.stored_answer)
+        pending.reply.send_complete(order.stored_answer)
         self._count_answer(pending, codes.OK.name)
 
     def _refuse(self, order: messages.RefuseCall) -> None:
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/peering.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/peering.py
@@ -198,7 +198,7 @@
                 self._taken.pop((handed.sender, handed.call_id), None)
             self._links.send(handed.sender, message, call_id=handed.call_id)
 
-        def send_whole(answer: StoredAnswer) -> None:
+        def send_complete(answer: StoredAnswer) -> None:
             send(
                 last=True,
                 status=answer.status,
@@ -227,7 +227,7 @@
             )
 
         return Reply(
-            send_whole=send_whole,
+            send_complete=send_complete,
             begin=begin,
             part=lambda part: send(last=False, body=part),
             end=lambda: send(last=True),
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/replies.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/replies.py
@@ -48,7 +48,7 @@
 class Reply:
     """Functions that answer one request.
 
-    :param send_whole: send a complete answer
+    :param send_complete: send a complete answer
     :param begin: start an answer in parts
     :param part: send a part of the body
     :param end: end an answer in parts
@@ -57,7 +57,7 @@
     :param is_full: return whether further parts should wait
     """
 
-    send_whole: Callable[[StoredAnswer], None]
+    send_complete: Callable[[StoredAnswer], None]
     begin: Callable[[AnswerStart], None]
     part: Callable[[bytes], None]
     end: Callable[[], None]
@@ -71,7 +71,7 @@
 
 
 NULL_REPLY = Reply(
-    send_whole=_ignore,
+    send_complete=_ignore,
     begin=_ignore,
     part=_ignore,
     end=_ignore,
