--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/callers.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/callers.py
@@ -43,10 +43,7 @@
 
 @dataclass(kw_only=True)
 class _IncomingRequest:
-    """A request that may still be arriving.
-
-    :param is_complete: whether the body is complete
-    """
+    """A request that may still be arriving."""
 
     head: RequestHead
     body: bytearray = field(default_factory=bytearray)
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/gateway.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/gateway.py
@@ -308,10 +308,7 @@
     def finish_peer_answer(
         self, pending: PendingCall, peer: str, complete_answer: StoredAnswer | None
     ) -> None:
-        """Note that a peer's answer is complete.
-
-        :param complete_answer: ``None`` when it was relayed in parts
-        """
+        """Note that a peer's answer ended; it is ``None`` when it was relayed in parts."""
         pending.peer = None
         pending.complete_answer = complete_answer
         message = messages.PeerAnswered(
