--- a/features/steps/front_steps.py
+++ b/features/steps/front_steps.py
@@ -109,7 +109,7 @@
 @then("nothing is held against {name}")
 def check_clean(context, name):
     server = context.front.state.servers.states[name]
-    assert server.failures == 0 and server.view.failing == 0.0
+    assert server.failures == 0 and server.view.failure_share == 0.0
     assert name in context.front.names()
 
 
--- a/features/steps/reading_steps.py
+++ b/features/steps/reading_steps.py
@@ -63,7 +63,7 @@
     """Let the store turn this daemon away, its waiting read included."""
     if find(orders, ReadRegistry) is not None:
         front.tell(RegistryReadFailed(now=front.now, reason="the store turned it away"))
-    if front.reading.configuration.is_asking:
+    if front.reading.configuration.is_reading:
         front.tell(ConfigurationReadFailed(now=front.now, reason="the store turned it away"))
 
 
@@ -79,7 +79,7 @@
     return [
         name
         for name, front in context.fronts.items()
-        if front.reading.configuration.is_asking and name not in silent
+        if front.reading.configuration.is_reading and name not in silent
     ]
 
 
--- a/features/subjects/chain.py
+++ b/features/subjects/chain.py
@@ -29,7 +29,7 @@
 
     def may_claim(self) -> bool:
         """Tell whether a claim may be written from what is known here."""
-        return self.chain.known or not self.chain.unjudged
+        return self.chain.known or not self.chain.undecided
 
 
 @dataclass
--- a/features/subjects/measuring.py
+++ b/features/subjects/measuring.py
@@ -81,7 +81,7 @@
         )
         daemon.configure(Configuration(id="c", revision=1, services=(service,)))
         for state in daemon.state.servers.states.values():
-            state.is_leaving_itself = True
+            state.reports_leaving = True
         if not self.has_lease:
             daemon.state.leases.__class__ = LeasesWithoutHolder
         daemon.sinks[Probe] = lambda order: self._probe(daemon, order)
--- a/packages/dotterelgate-core/src/dotterelgate_core/chain.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/chain.py
@@ -43,14 +43,14 @@
     :param start: first offset that this reader has read
     :param known: whether the accepted record is known
     :param current: the accepted record, if there is one
-    :param unjudged: records read while the accepted record is unknown, by id
+    :param undecided: records read while the accepted record is unknown, by id
     :param is_first_copy: whether ``current.offset`` is the offset at which it was accepted
     """
 
     start: int = 0
     known: bool = False
     current: Link | None = None
-    unjudged: dict[str, Link] = field(default_factory=dict)
+    undecided: dict[str, Link] = field(default_factory=dict)
     is_first_copy: bool = True
 
     def begin(self, *, start: int) -> None:
@@ -58,7 +58,7 @@
         self.start = start
         self.known = start == 0
         self.current = None
-        self.unjudged = {}
+        self.undecided = {}
 
     def read(self, link: Link) -> bool:
         """Apply the next record in log order.
@@ -66,16 +66,16 @@
         :returns: whether it was accepted
         """
         if self.known:
-            return self._take(link)
-        if link.read_to >= self.start and not self._is_doubtful(link):
-            self._settle(link.previous, since=link.read_to)
-        return self._take(link)
+            return self._apply(link)
+        if link.read_to >= self.start and not self._may_miss_accepted(link):
+            self._decide(link.previous, since=link.read_to)
+        return self._apply(link)
 
     def confirm(self, link: Link) -> None:
         """Apply a confirmation that ``link`` was the accepted record as of its ``read_to``."""
         if self.known or link.read_to < self.start:
             return
-        self._settle(link.id, since=link.read_to, accepted=link)
+        self._decide(link.id, since=link.read_to, accepted=link)
 
     def expire(self, *, oldest: int) -> None:
         """Remove undecided records that the log no longer retains."""
@@ -83,32 +83,32 @@
             return
         # Without them nothing before ``oldest`` can be decided, as after a restart.
         self.start = oldest
-        gone = [key for key, link in self.unjudged.items() if link.offset < oldest]
-        for key in gone:
-            del self.unjudged[key]
+        expired = [key for key, link in self.undecided.items() if link.offset < oldest]
+        for key in expired:
+            del self.undecided[key]
 
-    def _is_doubtful(self, link: Link) -> bool:
+    def _may_miss_accepted(self, link: Link) -> bool:
         # The writer names no previous record because it saw none, but a reader that
         # started earlier may know one and decide on the records since by it.
         if link.previous is not None:
             return False
-        return any(other.offset >= link.read_to for other in self.unjudged.values())
+        return any(other.offset >= link.read_to for other in self.undecided.values())
 
-    def _settle(self, accepted_id: str | None, *, since: int, accepted: Link | None = None) -> None:
-        waiting = sorted(self.unjudged.values(), key=lambda link: link.offset)
-        self.current = accepted or self._find(accepted_id)
+    def _decide(self, accepted_id: str | None, *, since: int, accepted: Link | None = None) -> None:
+        undecided = sorted(self.undecided.values(), key=lambda link: link.offset)
+        self.current = accepted or self._find_accepted(accepted_id)
         self.is_first_copy = False
         self.known = True
-        self.unjudged = {}
-        for link in waiting:
+        self.undecided = {}
+        for link in undecided:
             if link.offset >= since:
-                self._take(link)
+                self._apply(link)
 
-    def _find(self, accepted_id: str | None) -> Link | None:
+    def _find_accepted(self, accepted_id: str | None) -> Link | None:
         if accepted_id is None:
             return None
-        if accepted_id in self.unjudged:
-            return self.unjudged[accepted_id]
+        if accepted_id in self.undecided:
+            return self.undecided[accepted_id]
         return Link(
             id=accepted_id,
             previous=None,
@@ -118,13 +118,13 @@
             body=None,
         )
 
-    def _take(self, link: Link) -> bool:
-        if self.known and self._is_unjudgeable(link):
+    def _apply(self, link: Link) -> bool:
+        if self.known and self._is_undecidable(link):
             # The accepted record is unknown from here on, as after a restart.
             self.begin(start=link.offset)
             self.known = False
         if not self.known:
-            self.unjudged.setdefault(link.id, link)
+            self.undecided.setdefault(link.id, link)
             return False
         if not self._follows(link):
             return False
@@ -139,7 +139,7 @@
             return True
         return link.previous is None and self.current.offset < link.oldest
 
-    def _is_unjudgeable(self, link: Link) -> bool:
+    def _is_undecidable(self, link: Link) -> bool:
         # Whether the log still retained the accepted record for the writer cannot be
         # decided without the offset at which it was accepted.
         current = self.current
--- a/packages/dotterelgate-core/src/dotterelgate_core/configuration.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/configuration.py
@@ -200,7 +200,7 @@
         :returns: whether a newer configuration came into force
         """
         self.chain.read(link)
-        return self._follow_chain()
+        return self._apply_accepted()
 
     def read_confirmation(self, link: Link) -> bool:
         """Apply a confirmation of the configuration that was in force at ``read_to``.
@@ -208,26 +208,26 @@
         :returns: whether a newer configuration came into force
         """
         self.chain.confirm(link)
-        return self._follow_chain()
+        return self._apply_accepted()
 
     def take_from_peer(self, configuration: Configuration) -> bool:
         """Apply a configuration that the store holds or a peer has in force.
 
         :returns: whether it is newer than the one in force here
         """
-        return self._advance(configuration)
+        return self._apply_if_newer(configuration)
 
     def find_service(self, name: str) -> Service | None:
         """Find a service of the configuration in force."""
         return self._services.get(name)
 
-    def _follow_chain(self) -> bool:
+    def _apply_accepted(self) -> bool:
         link = self.chain.current
         if link is None or link.body is None:
             return False
-        return self._advance(link.body)
+        return self._apply_if_newer(link.body)
 
-    def _advance(self, configuration: Configuration) -> bool:
+    def _apply_if_newer(self, configuration: Configuration) -> bool:
         if self.current is not None and configuration.revision <= self.current.revision:
             return False
         self.current = configuration
--- a/packages/dotterelgate-core/src/dotterelgate_core/control.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/control.py
@@ -35,7 +35,7 @@
 __all__ = ["CONFIGURATION_RESOURCE", "make_control_pipeline"]
 
 CONFIGURATION_RESOURCE = "configuration"
-CONFIRM_PATIENCE_SECONDS = 0.5
+CONFIRMATION_DELAY_SECONDS = 0.5
 
 
 def make_control_pipeline(
@@ -134,32 +134,32 @@
 
 
 def _make_leaving_filter(state: DaemonState) -> Filter:
-    def leave(message: Message) -> Iterable[Message]:
+    def note_leaving(message: Message) -> Iterable[Message]:
         if not isinstance(message, LeavingReceived):
             return (message,)
         server = state.servers.states.get(message.server)
         if server is None:
             return ()
-        if not server.note_sign(is_leaving=message.is_leaving, wall=message.wall):
+        if not server.note_leaving_report(is_leaving=message.is_leaving, wall=message.wall):
             return ()
-        word = "is leaving; it gets no new requests" if message.is_leaving else "works again"
-        sentence = f"{message.server} {word} (from {message.source})"
+        status = "is leaving; it gets no new requests" if message.is_leaving else "works again"
+        sentence = f"{message.server} {status} (from {message.source})"
         return (Decision(part="control", sentence=sentence, target=message.server),)
 
-    return leave
+    return note_leaving
 
 
 def _make_vms_filter(state: DaemonState) -> Filter:
-    def list_vms(message: Message) -> Iterable[Message]:
+    def apply_vms(message: Message) -> Iterable[Message]:
         if not isinstance(message, VmsRead):
             return (message,)
-        _follow_entries(state, message)
-        return _follow_servers(state, message)
+        _apply_entry_vms(state, message)
+        return _apply_server_vms(state, message)
 
-    return list_vms
+    return apply_vms
 
 
-def _follow_entries(state: DaemonState, read: VmsRead) -> None:
+def _apply_entry_vms(state: DaemonState, read: VmsRead) -> None:
     for vm in read.vms:
         if not vm.is_entry or vm.name == state.name:
             continue
@@ -175,7 +175,7 @@
         peer.listed_leaving = vm.state == "leaving"
 
 
-def _follow_servers(state: DaemonState, read: VmsRead) -> list[Message]:
+def _apply_server_vms(state: DaemonState, read: VmsRead) -> list[Message]:
     messages: list[Message] = []
     for vm in read.vms:
         server = state.servers.states.get(vm.name)
@@ -199,7 +199,7 @@
         if not due:
             return (message,)
         moment = Moment(now=message.now, wall=message.wall)
-        claims = tuple(state.leases.prepare(resource, moment) for resource in due)
+        claims = tuple(state.leases.prepare_claim(resource, moment) for resource in due)
         order = AppendClaims(claims=claims, read_to=position.read_to, oldest=position.oldest)
         return (order, message)
 
@@ -212,7 +212,7 @@
             return (message,)
         if not _is_confirmation_due(state, position, message):
             return ()
-        position.asked_at = message.now
+        position.confirm_ordered_at = message.now
         current = state.configuration.current
         assert current is not None and position.read_to is not None
         return (AppendConfirmation(configuration=current, read_to=position.read_to),)
@@ -226,7 +226,7 @@
     current = state.configuration.current
     if position.read_to is None or not chain.known or current is None or chain.current is None:
         return False
-    if chain.current.id != current.id or now - position.asked_at < 1.0:
+    if chain.current.id != current.id or now - position.confirm_ordered_at < 1.0:
         return False
     is_missing = position.confirmed_offset < position.oldest
     if not is_missing:
@@ -236,11 +236,11 @@
     if not state.leases.holds(CONFIGURATION_RESOURCE, now, ticked.wall):
         # The holder may be paused; a surplus confirmation is harmless.
         waited = 0.0 if position.missing_since is None else now - position.missing_since
-        return waited > _find_patience(state)
+        return waited > _compute_confirmation_delay(state)
     return is_missing or now - position.confirmed_at >= position.confirm_interval
 
 
-def _find_patience(state: DaemonState) -> float:
+def _compute_confirmation_delay(state: DaemonState) -> float:
     names = [*state.peers.listed, state.name]
     rank = rank_by_rendezvous(CONFIGURATION_RESOURCE, names).index(state.name)
-    return CONFIRM_PATIENCE_SECONDS * (1 + rank)
+    return CONFIRMATION_DELAY_SECONDS * (1 + rank)
--- a/packages/dotterelgate-core/src/dotterelgate_core/handovers.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/handovers.py
@@ -34,10 +34,10 @@
 
 __all__ = ["HandoverTable", "make_handover_filter"]
 
-RESEND_SECONDS = 0.3
+RESEND_INTERVAL_SECONDS = 0.3
 OFFER_SECONDS = 2.0
-SETTLE_SECONDS = 3.0
-OFFERS_AT_ONCE = 4
+STABLE_SECONDS = 3.0
+MAX_OPEN_OFFERS = 4
 
 
 @dataclass(kw_only=True, slots=True)
@@ -90,19 +90,19 @@
             return ()
         if not isinstance(message, ControlTicked) or position.read_to is None:
             return (message,)
-        _note_given(state, table)
+        _note_handed_over(state, table)
         return [*_send_keys(state, table, message.now), *_offer(state, table, message), message]
 
     return hand_over
 
 
-def _note_given(state: DaemonState, table: HandoverTable) -> None:
-    for resource, transfer in state.leases.given.items():
+def _note_handed_over(state: DaemonState, table: HandoverTable) -> None:
+    for resource, transfer in state.leases.handed_over.items():
         grant = state.leases.find_holder(resource)
         if grant is not None:
             table.outgoing[resource] = Outgoing(successor=grant.holder, transfer=transfer)
         table.offers.pop(resource, None)
-    state.leases.given.clear()
+    state.leases.handed_over.clear()
 
 
 def _offer(state: DaemonState, table: HandoverTable, tick: ControlTicked) -> list[Message]:
@@ -113,12 +113,12 @@
     late = [key for key, each in table.offers.items() if tick.now - each.began_at > OFFER_SECONDS]
     for resource in late:
         del table.offers[resource]
-    is_settled = tick.now - table.stable_since >= SETTLE_SECONDS
-    if not (state.peers.leaving or is_settled) or usable in ((), (state.name,)):
+    is_stable = tick.now - table.stable_since >= STABLE_SECONDS
+    if not (state.peers.leaving or is_stable) or usable in ((), (state.name,)):
         return []
     orders: list[Message] = []
     for resource in state.leases.leases:
-        if len(table.offers) >= OFFERS_AT_ONCE:
+        if len(table.offers) >= MAX_OPEN_OFFERS:
             break
         is_held = state.leases.holds(resource, tick.now, tick.wall)
         if resource in table.offers or not is_held:
@@ -127,31 +127,31 @@
         if successor == state.name:
             continue
         open_range(state, resource, now=tick.now, wall=tick.wall)
-        offer = Offer(id=state.leases.take_id(), successor=successor, began_at=tick.now)
+        offer = Offer(id=state.leases.allocate_claim_id(), successor=successor, began_at=tick.now)
         table.offers[resource] = offer
         orders.append(SendOffer(resource=resource, successor=successor, transfer=offer.id))
     return orders
 
 
 def _grant(
-    state: DaemonState, position: LogPosition, table: HandoverTable, taken: OfferAccepted
+    state: DaemonState, position: LogPosition, table: HandoverTable, accepted: OfferAccepted
 ) -> list[Message]:
-    offer = table.offers.get(taken.resource)
-    lease = state.leases.leases.get(taken.resource)
-    if offer is None or offer.id != taken.transfer or lease is None or lease.tenure is None:
+    offer = table.offers.get(accepted.resource)
+    lease = state.leases.leases.get(accepted.resource)
+    if offer is None or offer.id != accepted.transfer or lease is None or lease.tenure is None:
         return []
     peer = state.peers.listed.get(offer.successor)
     grant = Grant(
-        resource=taken.resource,
+        resource=accepted.resource,
         holder=offer.successor,
-        incarnation=taken.incarnation,
+        incarnation=accepted.incarnation,
         address=peer.address if peer is not None else "",
         length=state.leases.length,
         transfer=offer.id,
     )
     assert position.read_to is not None
     claim = state.leases.build_claim(offer.id, grant)
-    sentence = f"handing {taken.resource} over to {offer.successor}"
+    sentence = f"handing {accepted.resource} over to {offer.successor}"
     return [
         AppendClaims(claims=(claim,), read_to=position.read_to, oldest=position.oldest),
         Decision(part="handovers", sentence=sentence, target=offer.successor),
@@ -163,7 +163,7 @@
     for resource, outgoing in list(table.outgoing.items()):
         if outgoing.successor in state.peers.removed:
             del table.outgoing[resource]
-        elif _is_quiet(state, resource) and now - outgoing.sent_at >= RESEND_SECONDS:
+        elif _is_idle(state, resource) and now - outgoing.sent_at >= RESEND_INTERVAL_SECONDS:
             outgoing.sent_at = now
             order = SendKeys(
                 resource=resource, successor=outgoing.successor, transfer=outgoing.transfer
@@ -172,14 +172,14 @@
     return orders
 
 
-def _is_quiet(state: DaemonState, resource: str) -> bool:
+def _is_idle(state: DaemonState, resource: str) -> bool:
     key_range = state.keys.ranges.get(resource)
     if key_range is None:
         return True
     return all(entry.state is not KeyState.RUNNING for entry in key_range.entries.values())
 
 
-def _end_outgoing(table: HandoverTable, taken: KeysReceived) -> None:
-    outgoing = table.outgoing.get(taken.resource)
-    if outgoing is not None and outgoing.transfer == taken.transfer:
-        del table.outgoing[taken.resource]
+def _end_outgoing(table: HandoverTable, received: KeysReceived) -> None:
+    outgoing = table.outgoing.get(received.resource)
+    if outgoing is not None and outgoing.transfer == received.transfer:
+        del table.outgoing[received.resource]
--- a/packages/dotterelgate-core/src/dotterelgate_core/holding.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/holding.py
@@ -200,17 +200,17 @@
 def _refuse_key(state: DaemonState, key_range: KeyRange, routed: CallRouted) -> Refusal | None:
     if state.keys.size >= state.keys.limit:
         return Refusal(codes.KEYS_FULL, "the table of idempotency keys is full")
-    made_at = read_key_time(routed.call.key or "")
-    error = state.limits.clock_error
-    if made_at is None:
+    created_at = read_key_time(routed.call.key or "")
+    clock_error = state.limits.clock_error
+    if created_at is None:
         if key_range.history_from is None or routed.now >= key_range.history_until:
             return None
         return Refusal(codes.KEY_HISTORY_UNKNOWN, "an earlier holder may have run this key")
-    if made_at > routed.wall + error:
+    if created_at > routed.wall + clock_error:
         return Refusal(codes.KEY_FROM_FUTURE, "the key's own time is ahead of this clock")
-    if made_at < routed.wall - state.keys.retention + error:
+    if created_at < routed.wall - state.keys.retention + clock_error:
         return Refusal(codes.KEY_TOO_OLD, "the key is older than outcomes are remembered")
-    if key_range.history_from is not None and made_at <= key_range.history_from + error:
+    if key_range.history_from is not None and created_at <= key_range.history_from + clock_error:
         return Refusal(codes.KEY_HISTORY_UNKNOWN, "an earlier holder may have run this key")
     return None
 
@@ -256,7 +256,7 @@
     entry.seen_at = settled.now
     joined, entry.joined = entry.joined, []
     _settle_entry(state, entries, call_state.digest, settled)
-    answers = [_tell_joined(call_id, entry, settled) for call_id in joined]
+    answers = [_answer_joined(call_id, entry, settled) for call_id in joined]
     return [*answers, settled]
 
 
@@ -275,7 +275,7 @@
         state.keys.size -= 1
 
 
-def _tell_joined(call_id: int, entry: KeyEntry, settled: CallSettled) -> Message:
+def _answer_joined(call_id: int, entry: KeyEntry, settled: CallSettled) -> Message:
     if settled.ran or settled.refusal is None:
         return _repeat_answer(call_id, entry)
     return RefuseCall(call_id=call_id, refusal=settled.refusal)
--- a/packages/dotterelgate-core/src/dotterelgate_core/leases.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/leases.py
@@ -15,7 +15,7 @@
 
 __all__ = ["Claim", "Grant", "Lease", "LeaseTable", "Moment", "Tenure"]
 
-DRIFT_SHARE = 0.01
+CLOCK_DRIFT_SHARE = 0.01
 RENEWAL_SHARE = 1 / 3
 RANK_DELAY_SECONDS = 1.0
 
@@ -87,8 +87,8 @@
     :param ends_wall: the same on the wall clock, which advances while a VM is paused
     :param tenure: set while this daemon is the accepted holder
     :param claimed_at: monotonic second of a claim that was not read on the log yet
-    :param waits_until: monotonic second until which the previous holder may still act
-    :param arrived: id of the handover whose keys this daemon has received
+    :param previous_ends_at: monotonic second until which the previous holder may still act
+    :param received_transfer: id of the handover whose keys this daemon has received
     """
 
     chain: Chain = field(default_factory=Chain)
@@ -97,8 +97,8 @@
     ends_wall: float = 0.0
     tenure: Tenure | None = None
     claimed_at: float | None = None
-    waits_until: float = 0.0
-    arrived: str | None = None
+    previous_ends_at: float = 0.0
+    received_transfer: str | None = None
 
 
 @dataclass(kw_only=True, slots=True)
@@ -111,8 +111,8 @@
     :param length: seconds of a lease
     :param started_at: monotonic second at which reading the log began
     :param leases: by resource
-    :param sent: moment just before each own claim was sent, by grant id
-    :param given: resources whose handover was just read on the log, with its id
+    :param sent_claims: moment just before each own claim was sent, by grant id
+    :param handed_over: resources whose handover was just read on the log, with its id
     :param is_retired: whether this daemon no longer acts on any resource
     """
 
@@ -122,9 +122,9 @@
     length: float
     started_at: float = 0.0
     leases: dict[str, Lease] = field(default_factory=dict)
-    sent: dict[str, Moment] = field(default_factory=dict)
+    sent_claims: dict[str, Moment] = field(default_factory=dict)
     next_claim: int = 0
-    given: dict[str, str] = field(default_factory=dict)
+    handed_over: dict[str, str] = field(default_factory=dict)
     is_retired: bool = False
 
     def begin(self, *, resources: Collection[str], start: int, now: float) -> None:
@@ -167,14 +167,14 @@
             return False
         before = lease.chain.current
         lease.chain.read(link)
-        if self._is_mine(grant):
+        if self._is_own(grant):
             lease.claimed_at = None
         if lease.chain.current is before:
             return False
-        self._follow(lease, before, now)
+        self._apply_accepted(lease, before, now)
         return True
 
-    def prepare(self, resource: str, moment: Moment) -> Claim:
+    def prepare_claim(self, resource: str, moment: Moment) -> Claim:
         """Build an own claim whose length counts from a moment before it is sent."""
         grant = Grant(
             resource=resource,
@@ -183,13 +183,13 @@
             address=self.address,
             length=self.length,
         )
-        claim = self.build_claim(self.take_id(), grant)
-        self._forget_sent(moment.now)
-        self.sent[claim.id] = moment
+        claim = self.build_claim(self.allocate_claim_id(), grant)
+        self._remove_old_claims(moment.now)
+        self.sent_claims[claim.id] = moment
         self.leases[resource].claimed_at = moment.now
         return claim
 
-    def take_id(self) -> str:
+    def allocate_claim_id(self) -> str:
         """Allocate the id of a claim."""
         self.next_claim += 1
         return f"{self.incarnation}/{self.next_claim}"
@@ -244,32 +244,32 @@
         chain = lease.chain
         if not chain.known:
             # Grants that the log no longer retains may still be in effect.
-            return None if chain.unjudged else self.started_at + self._outlast(self.length)
+            return None if chain.undecided else self.started_at + self._add_drift(self.length)
         if chain.current is None:
             return lease.read_at
         grant: Grant | None = chain.current.body
         if grant is None:
-            return lease.read_at + self._outlast(self.length)
+            return lease.read_at + self._add_drift(self.length)
         if grant.holder in removed or self._is_earlier_run(grant):
             return lease.read_at
-        return lease.read_at + self._outlast(grant.length)
+        return lease.read_at + self._add_drift(grant.length)
 
-    def _follow(self, lease: Lease, before: Link | None, now: float) -> None:
+    def _apply_accepted(self, lease: Lease, before: Link | None, now: float) -> None:
         current = lease.chain.current
-        outlasts = lease.read_at + self._outlast(self._find_length(before))
+        previous_ends_at = lease.read_at + self._add_drift(self._find_length(before))
         lease.read_at = now
-        if lease.tenure is not None and self._is_given(current):
+        if lease.tenure is not None and self._is_handover(current):
             assert current is not None
-            self.given[current.body.resource] = current.id
-        if current is None or current.body is None or not self._is_mine(current.body):
+            self.handed_over[current.body.resource] = current.id
+        if current is None or current.body is None or not self._is_own(current.body):
             lease.tenure = None
             return
-        sent = self.sent.pop(current.id, None)
+        sent = self.sent_claims.pop(current.id, None)
         if sent is None:
             lease.tenure = None
             return
-        lease.waits_until = outlasts
-        length = current.body.length * (1 - DRIFT_SHARE)
+        lease.previous_ends_at = previous_ends_at
+        length = current.body.length * (1 - CLOCK_DRIFT_SHARE)
         lease.ends_at = sent.now + length
         lease.ends_wall = sent.wall + length
         follows_own = before is not None and before.id == current.previous
@@ -284,7 +284,7 @@
 
     def note_arrival(self, resource: str, transfer: str) -> None:
         """Note that the keys of a handover have been received."""
-        self.leases[resource].arrived = transfer
+        self.leases[resource].received_transfer = transfer
 
     def expect_transfer(self, claim_id: str, moment: Moment) -> None:
         """Note that a peer will grant a resource to this daemon under this id.
@@ -292,17 +292,17 @@
         Only the first moment counts, since the grant may be on the log already
         when the announcement is repeated.
         """
-        self.sent.setdefault(claim_id, moment)
+        self.sent_claims.setdefault(claim_id, moment)
 
     def _is_open(self, lease: Lease, tenure: Tenure, now: float) -> bool:
-        if tenure.transfer is None or lease.arrived == tenure.transfer:
+        if tenure.transfer is None or lease.received_transfer == tenure.transfer:
             return True
-        return now >= lease.waits_until
+        return now >= lease.previous_ends_at
 
-    def _is_given(self, current: Link | None) -> bool:
+    def _is_handover(self, current: Link | None) -> bool:
         if current is None or current.body is None:
             return False
-        return current.body.transfer is not None and not self._is_mine(current.body)
+        return current.body.transfer is not None and not self._is_own(current.body)
 
     def _find_length(self, before: Link | None) -> float:
         if before is None or before.body is None:
@@ -310,18 +310,18 @@
         length: float = before.body.length
         return length
 
-    def _forget_sent(self, now: float) -> None:
+    def _remove_old_claims(self, now: float) -> None:
         # A lease from a claim this old would have ended already.
-        old = [key for key, sent in self.sent.items() if now - sent.now > self.length]
+        old = [key for key, sent in self.sent_claims.items() if now - sent.now > self.length]
         for key in old:
-            del self.sent[key]
+            del self.sent_claims[key]
 
-    def _is_mine(self, grant: Grant) -> bool:
+    def _is_own(self, grant: Grant) -> bool:
         return grant.holder == self.holder and grant.incarnation == self.incarnation
 
     def _is_earlier_run(self, grant: Grant) -> bool:
         # The peer address is bound by this run, so the earlier run has ended.
         return grant.holder == self.holder and grant.incarnation != self.incarnation
 
-    def _outlast(self, length: float) -> float:
-        return length * (1 + DRIFT_SHARE)
+    def _add_drift(self, length: float) -> float:
+        return length * (1 + CLOCK_DRIFT_SHARE)
--- a/packages/dotterelgate-core/src/dotterelgate_core/loads.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/loads.py
@@ -14,12 +14,12 @@
 PEER_COUNT_SECONDS = 1.5
 # Requests in a report that come from other availability zones are assumed to have
 # ended after this long, the usual time of a request.
-UNEXPLAINED_SECONDS = 0.3
+UNATTRIBUTED_SECONDS = 0.3
 # Smoothing weights of one answer.
 PACE_WEIGHT = 0.2
 FAILURE_WEIGHT = 0.25
 # Pace and share of failures decay, so that the backend server is tried again.
-FADING_SECONDS = 3.0
+DECAY_SECONDS = 3.0
 PACE_LIMIT = 6.0
 # An idle connection is assumed usable for this long: the platform's backend servers
 # close it after 10 s.
@@ -49,10 +49,10 @@
     :param peers: requests that each peer has at it, and when the peer reported them
     :param report: the newest report
     :param reported_at: monotonic second of that report
-    :param unexplained: requests of the report beyond those of this daemon and its peers
+    :param unattributed: requests of the report beyond those of this daemon and its peers
     :param pace: smoothed ratio of measured to usual time
-    :param failing: smoothed share of requests that failed
-    :param learned_at: monotonic second of the last change of ``pace`` or ``failing``
+    :param failure_share: smoothed share of requests that failed
+    :param learned_at: monotonic second of the last change of ``pace`` or ``failure_share``
     :param is_untold: whether the report has not been sent to peers yet
     :param untold_failure: whether a failure has not been sent to peers yet
     :param granted_at: monotonic second at which each peer's last request was granted
@@ -62,9 +62,9 @@
     peers: dict[str, tuple[int, float]] = field(default_factory=dict)
     report: LoadReport | None = None
     reported_at: float = float("-inf")
-    unexplained: int = 0
+    unattributed: int = 0
     pace: float = 1.0
-    failing: float = 0.0
+    failure_share: float = 0.0
     learned_at: float = float("-inf")
     is_untold: bool = False
     untold_failure: bool = False
@@ -73,7 +73,7 @@
 
     def count_others(self) -> int:
         """Count the requests at the backend server that are not this daemon's."""
-        return self.unexplained + sum(count for count, _ in self.peers.values())
+        return self.unattributed + sum(count for count, _ in self.peers.values())
 
     def note_report(self, report: LoadReport, own: int, at: float) -> None:
         """Apply a report unless a newer one was applied.
@@ -83,10 +83,10 @@
         """
         if at < self.reported_at:
             return
-        known = own + sum(count for count, _ in self.peers.values())
+        attributed = own + sum(count for count, _ in self.peers.values())
         self.report = report
         self.reported_at = at
-        self.unexplained = max(0, report.running + report.waiting - known)
+        self.unattributed = max(0, report.running + report.waiting - attributed)
 
     def note_peer(self, peer: str, count: int, now: float) -> None:
         """Set how many requests a peer has at the backend server."""
@@ -106,30 +106,30 @@
         busy = peer in self.peers
         return not busy and now - self.granted_at.get(peer, float("-inf")) < CONNECTED_SECONDS
 
-    def forget_old(self, now: float) -> bool:
+    def remove_stale_counts(self, now: float) -> bool:
         """Remove counts that no peer repeated.
 
         :returns: whether slots may have become free
         """
-        if not self.peers and not self.unexplained:
+        if not self.peers and not self.unattributed:
             return False
         before = self.count_others()
         stale = [name for name, (_, at) in self.peers.items() if now - at > PEER_COUNT_SECONDS]
         for name in stale:
             del self.peers[name]
-        if now - self.reported_at > UNEXPLAINED_SECONDS:
-            self.unexplained = 0
+        if now - self.reported_at > UNATTRIBUTED_SECONDS:
+            self.unattributed = 0
         return self.count_others() < before
 
     def note_pace(self, ratio: float, now: float) -> None:
         """Update the pace with the ratio of an answer's time to the usual time."""
-        self._fade(now)
+        self._decay(now)
         self.pace += PACE_WEIGHT * (min(ratio, PACE_LIMIT) - self.pace)
 
     def note_outcome(self, *, failed: bool, now: float) -> None:
         """Update the share of failures with the outcome of a request."""
-        self._fade(now)
-        self.failing += FAILURE_WEIGHT * (float(failed) - self.failing)
+        self._decay(now)
+        self.failure_share += FAILURE_WEIGHT * (float(failed) - self.failure_share)
 
     def estimate_slowdown(self, now: float, usual: float) -> float:
         """Estimate the slowdown for work that starts now.
@@ -143,17 +143,17 @@
 
     def estimate_pace(self, now: float) -> float:
         """Estimate the lasting slowness of the backend server itself, at least 1."""
-        return 1.0 + max(0.0, self.pace - 1.0) * self._find_weight(now)
+        return 1.0 + max(0.0, self.pace - 1.0) * self._compute_decay(now)
 
     def estimate_failing(self, now: float) -> float:
         """Estimate the share of requests that fail, 0 to 1."""
-        return self.failing * self._find_weight(now)
+        return self.failure_share * self._compute_decay(now)
 
-    def _find_weight(self, now: float) -> float:
-        return exp(-max(0.0, now - self.learned_at) / FADING_SECONDS)
+    def _compute_decay(self, now: float) -> float:
+        return exp(-max(0.0, now - self.learned_at) / DECAY_SECONDS)
 
-    def _fade(self, now: float) -> None:
-        weight = self._find_weight(now)
+    def _decay(self, now: float) -> None:
+        weight = self._compute_decay(now)
         self.pace = 1.0 + (self.pace - 1.0) * weight
-        self.failing *= weight
+        self.failure_share *= weight
         self.learned_at = now
--- a/packages/dotterelgate-core/src/dotterelgate_core/observing.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/observing.py
@@ -49,13 +49,13 @@
     if server is not None:
         learn_from_answer(state, server, call_state, message, seconds)
     freed = SlotFreed(now=message.now, service=call_state.routed.service.name)
-    if server is None or not message.report.draining or server.is_leaving_itself:
+    if server is None or not message.report.draining or server.reports_leaving:
         return [message, freed]
-    seen = AnnounceLeaving(server=message.server, is_leaving=True, wall=message.wall)
-    server.note_sign(is_leaving=True, wall=message.wall)
+    announcement = AnnounceLeaving(server=message.server, is_leaving=True, wall=message.wall)
+    server.note_leaving_report(is_leaving=True, wall=message.wall)
     sentence = f"{message.server} is leaving, according to its answer; it gets no new requests"
     decision = Decision(part="settling", sentence=sentence, target=message.server)
-    return [message, seen, decision, freed]
+    return [message, announcement, decision, freed]
 
 
 def _observe_failure(state: DaemonState, message: DispatchFailed) -> list[Message]:
--- a/packages/dotterelgate-core/src/dotterelgate_core/probing.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/probing.py
@@ -33,12 +33,12 @@
 
 __all__ = ["MEASURING_RESOURCES", "find_measuring_resource", "make_probing_filter"]
 
-PROBE_SECONDS = 0.006
-CONNECTION_SECONDS = 0.001
+PROBE_COST_SECONDS = 0.006
+CONNECTION_COST_SECONDS = 0.001
 START_LIMIT_SECONDS = 0.25
 WINDOW_SECONDS = 1.0 + 2 * START_LIMIT_SECONDS
 DOUBTFUL_INTERVAL_SECONDS = 1.0
-IDLE_SECONDS = 5.0
+IDLE_INTERVAL_SECONDS = 5.0
 MEASURING_RANGES = 8
 MEASURING_RESOURCES = [f"measuring/{number}" for number in range(MEASURING_RANGES)]
 
@@ -73,7 +73,7 @@
 
     def probe(message: Message) -> Iterable[Message]:
         if isinstance(message, ProbeEnded):
-            return _learn(state, message)
+            return _apply_probe(state, message)
         if not isinstance(message, ControlTicked):
             return (message,)
         return [*_order_probes(state, measured, message), message]
@@ -113,7 +113,7 @@
 ) -> list[Message]:
     pool = state.servers.by_service.get(service.name, [])
     budget = service.measuring_share * sum(each.server.slots for each in pool)
-    cost = PROBE_SECONDS + CONNECTION_SECONDS
+    cost = PROBE_COST_SECONDS + CONNECTION_COST_SECONDS
     fence = min(tick.wall + START_LIMIT_SECONDS, lease.ends_wall - state.limits.clock_error)
     orders: list[Message] = []
     for server in sorted(pool, key=lambda each: account.probed_at.get(each.server.name, 0.0)):
@@ -131,12 +131,12 @@
 
 def _is_due(server: ServerState, probed_at: float, now: float) -> bool:
     since = now - probed_at
-    if server.is_leaving_itself or server.failures:
+    if server.reports_leaving or server.failures:
         return since >= DOUBTFUL_INTERVAL_SECONDS
-    return since >= IDLE_SECONDS and now - server.used_at >= IDLE_SECONDS
+    return since >= IDLE_INTERVAL_SECONDS and now - server.used_at >= IDLE_INTERVAL_SECONDS
 
 
-def _learn(state: DaemonState, message: ProbeEnded) -> list[Message]:
+def _apply_probe(state: DaemonState, message: ProbeEnded) -> list[Message]:
     server = state.servers.states.get(message.server)
     if server is None:
         return []
@@ -147,12 +147,12 @@
         server.failures = 0
         server.paused_until = 0.0
     orders: list[Message] = []
-    if message.draining != server.is_leaving_itself:
-        seen = AnnounceLeaving(
+    if message.draining != server.reports_leaving:
+        announcement = AnnounceLeaving(
             server=message.server, is_leaving=message.draining, wall=message.wall
         )
-        word = "is leaving" if message.draining else "works again"
-        sentence = f"{message.server} {word}, according to its answer to a probe"
+        status = "is leaving" if message.draining else "works again"
+        sentence = f"{message.server} {status}, according to its answer to a probe"
         decision = Decision(part="probing", sentence=sentence, target=message.server)
-        orders.extend((seen, decision))
+        orders.extend((announcement, decision))
     return [*orders, SlotFreed(now=message.now, service=message.service)]
--- a/packages/dotterelgate-core/src/dotterelgate_core/registry.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/registry.py
@@ -20,13 +20,13 @@
     "RegistrationRead",
     "RegistryListed",
     "RegistryState",
-    "StoreReturned",
+    "StoreRecovered",
     "make_registry_filter",
 ]
 
 # Entries that expired while the store was unavailable are written again within about
 # two seconds of its recovery; one still missing then counts as removed.
-RETURN_SECONDS = 2.2
+RECOVERY_SECONDS = 2.2
 # Connection limit of a backend server whose service sets none.
 DEFAULT_CONNECTIONS = 100
 
@@ -80,7 +80,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class StoreReturned:
+class StoreRecovered:
     """The store answers again after an outage."""
 
     now: float
@@ -94,13 +94,13 @@
     :param lapsed: names of entries missing since an outage of the store, with the
         monotonic second from which they count as removed
     :param returned_at: monotonic second at which the store answered again
-    :param is_away: whether the store is unavailable to this daemon
+    :param is_unavailable: whether the store is unavailable to this daemon
     """
 
     offsets: dict[str, int] = field(default_factory=dict)
     lapsed: dict[str, float] = field(default_factory=dict)
     returned_at: float = float("-inf")
-    is_away: bool = False
+    is_unavailable: bool = False
 
 
 def make_registry_filter(state: DaemonState, registry: RegistryState) -> Filter:
@@ -108,39 +108,39 @@
 
     def register(message: Message) -> Iterable[Message]:
         if isinstance(message, RegistrationRead):
-            return _take_entry(state, registry, message)
+            return _apply_entry(state, registry, message)
         if isinstance(message, RegistryListed):
-            return _drop_unlisted(state, registry, message)
-        if isinstance(message, StoreReturned):
-            return _note_return(registry, message.now)
+            return _remove_unlisted(state, registry, message)
+        if isinstance(message, StoreRecovered):
+            return _note_recovery(registry, message.now)
         if isinstance(message, ControlTicked):
-            return [*_drop_lapsed(state, registry, message.now), message]
+            return [*_remove_lapsed(state, registry, message.now), message]
         return (message,)
 
     return register
 
 
-def _note_return(registry: RegistryState, now: float) -> list[Message]:
-    registry.is_away = False
+def _note_recovery(registry: RegistryState, now: float) -> list[Message]:
+    registry.is_unavailable = False
     registry.returned_at = now
     for name in registry.lapsed:
-        registry.lapsed[name] = now + RETURN_SECONDS
+        registry.lapsed[name] = now + RECOVERY_SECONDS
     return []
 
 
-def _take_entry(
+def _apply_entry(
     state: DaemonState, registry: RegistryState, read: RegistrationRead
 ) -> list[Message]:
     if read.offset <= registry.offsets.get(read.name, -1):
         return []
     registry.offsets[read.name] = read.offset
     if read.registration is None:
-        return _lose_entry(state, registry, read)
+        return _remove_entry(state, registry, read)
     registry.lapsed.pop(read.name, None)
-    return _put_entry(state, read, read.registration)
+    return _apply_registration(state, read, read.registration)
 
 
-def _put_entry(
+def _apply_registration(
     state: DaemonState, read: RegistrationRead, registration: Registration
 ) -> list[Message]:
     before = state.servers.states.get(read.name)
@@ -159,8 +159,8 @@
         return []
     added = state.servers.put(registration.service, server)
     added.cold_until = read.now + registration.cold_seconds
-    word = "is leaving; it gets no new requests" if registration.is_draining else "can be used"
-    sentence = f"{read.name} {word} (entry {read.offset} from {read.source})"
+    status = "is leaving; it gets no new requests" if registration.is_draining else "can be used"
+    sentence = f"{read.name} {status} (entry {read.offset} from {read.source})"
     return [
         Decision(
             part="registry",
@@ -172,28 +172,30 @@
     ]
 
 
-def _lose_entry(
+def _remove_entry(
     state: DaemonState, registry: RegistryState, read: RegistrationRead
 ) -> list[Message]:
     if read.name not in state.servers.states:
         return []
     since = read.now - registry.returned_at
-    if registry.is_away or since < RETURN_SECONDS:
-        registry.lapsed[read.name] = max(read.now, registry.returned_at + RETURN_SECONDS)
+    if registry.is_unavailable or since < RECOVERY_SECONDS:
+        registry.lapsed[read.name] = max(read.now, registry.returned_at + RECOVERY_SECONDS)
         sentence = f"{read.name}: entry lapsed while the store was unavailable; waiting for it"
         return [Decision(part="registry", sentence=sentence, target=read.name)]
     return [
-        _drop(state, read.name, f"{read.reason or 'its entry was removed'} (from {read.source})")
+        _remove_server(
+            state, read.name, f"{read.reason or 'its entry was removed'} (from {read.source})"
+        )
     ]
 
 
-def _drop(state: DaemonState, name: str, reason: str) -> Decision:
-    state.servers.drop(name)
+def _remove_server(state: DaemonState, name: str, reason: str) -> Decision:
+    state.servers.remove(name)
     sentence = f"{name} is removed: {reason}; it gets no new requests"
     return Decision(part="registry", sentence=sentence, target=name)
 
 
-def _drop_unlisted(
+def _remove_unlisted(
     state: DaemonState, registry: RegistryState, listed: RegistryListed
 ) -> list[Message]:
     messages: list[Message] = []
@@ -201,18 +203,18 @@
         if name in listed.names or registry.offsets.get(name, -1) >= listed.end:
             continue
         missing = RegistrationRead(now=listed.now, name=name, offset=listed.end, registration=None)
-        messages.extend(_take_entry(state, registry, missing))
+        messages.extend(_apply_entry(state, registry, missing))
     return messages
 
 
-def _drop_lapsed(state: DaemonState, registry: RegistryState, now: float) -> list[Message]:
-    if registry.is_away or not registry.lapsed:
+def _remove_lapsed(state: DaemonState, registry: RegistryState, now: float) -> list[Message]:
+    if registry.is_unavailable or not registry.lapsed:
         return []
     due = [name for name, at in registry.lapsed.items() if at <= now]
     for name in due:
         del registry.lapsed[name]
     return [
-        _drop(state, name, "its entry is still missing after the store recovered")
+        _remove_server(state, name, "its entry is still missing after the store recovered")
         for name in due
         if name in state.servers.states
     ]
--- a/packages/dotterelgate-core/src/dotterelgate_core/sampling.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/sampling.py
@@ -20,16 +20,16 @@
 __all__ = ["SamplingState", "make_sampling_filter"]
 
 # A report older than this is renewed; slowdowns last about 150 ms.
-SAMPLE_SECONDS = 0.04
+MAX_AGE_SECONDS = 0.04
 # Interval between one daemon's probes of a backend server, even when its view of its
 # peers is wrong: below the platform's lowest bound of 42 a second for all daemons.
-LEAST_SECONDS = 0.03
+MIN_INTERVAL_SECONDS = 0.03
 PROBE_TIMEOUT_SECONDS = 0.4
 # After this long without requests a service's backend servers are probed less often.
 DEMAND_SECONDS = 2.0
-IDLE_SECONDS = 1.0
+IDLE_MAX_AGE_SECONDS = 1.0
 # Interval after a probe that was not answered.
-SILENT_SECONDS = 0.5
+RETRY_INTERVAL_SECONDS = 0.5
 PROBE_COST_SECONDS = 0.006
 
 
@@ -37,16 +37,16 @@
 class SamplingState:
     """Probes of this daemon.
 
-    :param asked_at: monotonic second of the last probe of each backend server
+    :param probed_at: monotonic second of the last probe of each backend server
     :param pending: names of those with a probe in progress
-    :param silent: names of those that did not answer the last probe
+    :param unanswered: names of those that did not answer the last probe
     :param samplers: daemon that samples each backend server, with the candidates that it
         was chosen from
     """
 
-    asked_at: dict[str, float] = field(default_factory=dict)
+    probed_at: dict[str, float] = field(default_factory=dict)
     pending: set[str] = field(default_factory=set)
-    silent: set[str] = field(default_factory=set)
+    unanswered: set[str] = field(default_factory=set)
     samplers: dict[str, tuple[tuple[str, ...], str]] = field(default_factory=dict)
 
 
@@ -55,7 +55,7 @@
 
     def sample(message: Message) -> Iterable[Message]:
         if isinstance(message, ProbeEnded):
-            return _learn(state, sampling, message)
+            return _apply_probe(state, sampling, message)
         if isinstance(message, ControlTicked):
             return [*_order_probes(state, sampling, message), message]
         return (message,)
@@ -74,7 +74,7 @@
         service = state.configuration.find_service(server.service)
         if service is None or not _is_due(state, sampling, server, tick.now):
             continue
-        sampling.asked_at[name] = tick.now
+        sampling.probed_at[name] = tick.now
         sampling.pending.add(name)
         orders.append(
             Probe(
@@ -121,44 +121,44 @@
 
 
 def _find_sampler(sampling: SamplingState, name: str, candidates: tuple[str, ...]) -> str:
-    known = sampling.samplers.get(name)
-    if known is None or known[0] != candidates:
-        known = (candidates, rank_by_rendezvous(name, candidates)[0])
-        sampling.samplers[name] = known
-    return known[1]
+    cached = sampling.samplers.get(name)
+    if cached is None or cached[0] != candidates:
+        cached = (candidates, rank_by_rendezvous(name, candidates)[0])
+        sampling.samplers[name] = cached
+    return cached[1]
 
 
 def _is_due(state: DaemonState, sampling: SamplingState, server: ServerState, now: float) -> bool:
     name = server.server.name
     if server.server.draining or name in sampling.pending:
         return False
-    since = now - sampling.asked_at.get(name, float("-inf"))
-    if since < (SILENT_SECONDS if name in sampling.silent else LEAST_SECONDS):
+    since = now - sampling.probed_at.get(name, float("-inf"))
+    if since < (RETRY_INTERVAL_SECONDS if name in sampling.unanswered else MIN_INTERVAL_SECONDS):
         return False
-    return now - server.view.reported_at >= _choose_age(state, server.service, now)
+    return now - server.view.reported_at >= _choose_max_age(state, server.service, now)
 
 
-def _choose_age(state: DaemonState, service: str, now: float) -> float:
+def _choose_max_age(state: DaemonState, service: str, now: float) -> float:
     """Choose the report age that triggers a probe; it is higher for services without requests."""
     routed_at = state.times.routed_at.get(service, float("-inf"))
-    return SAMPLE_SECONDS if now - routed_at < DEMAND_SECONDS else IDLE_SECONDS
+    return MAX_AGE_SECONDS if now - routed_at < DEMAND_SECONDS else IDLE_MAX_AGE_SECONDS
 
 
-def _learn(state: DaemonState, sampling: SamplingState, answered: ProbeEnded) -> list[Message]:
-    name = answered.server
+def _apply_probe(state: DaemonState, sampling: SamplingState, ended: ProbeEnded) -> list[Message]:
+    name = ended.server
     sampling.pending.discard(name)
     server = state.servers.states.get(name)
     if server is None:
         return []
     state.servers.sampled.add(name)
-    known = answered.reported_name is None or answered.reported_name == name
-    if not answered.answered or not known:
-        sampling.silent.add(name)
-        server.view.note_outcome(failed=True, now=answered.now)
+    is_same_server = ended.reported_name is None or ended.reported_name == name
+    if not ended.answered or not is_same_server:
+        sampling.unanswered.add(name)
+        server.view.note_outcome(failed=True, now=ended.now)
         server.view.untold_failure = True
         return []
-    sampling.silent.discard(name)
-    if answered.load is not None:
-        server.view.note_report(answered.load, server.in_flight, answered.now)
+    sampling.unanswered.discard(name)
+    if ended.load is not None:
+        server.view.note_report(ended.load, server.in_flight, ended.now)
         server.view.is_untold = True
-    return free_slots(state, (answered.service,), answered.now)
+    return free_slots(state, (ended.service,), ended.now)
--- a/packages/dotterelgate-core/src/dotterelgate_core/servers.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/servers.py
@@ -15,8 +15,8 @@
 
 FAILURES_BEFORE_PAUSE = 2
 PAUSE_SECONDS = 1.0
-PAUSE_LIMIT_SECONDS = 8.0
-SMOOTHING = 0.3
+MAX_PAUSE_SECONDS = 8.0
+SMOOTHING_WEIGHT = 0.3
 
 
 @dataclass(kw_only=True, slots=True)
@@ -28,8 +28,8 @@
     :param reported: requests that it reported, its queue included
     :param service_time: smoothed seconds per request
     :param is_listed_leaving: whether the platform lists it as leaving
-    :param is_leaving_itself: whether it reported so itself, to this daemon or another
-    :param sign_wall: wall-clock second of its newest such report
+    :param reports_leaving: whether it reported so itself, to this daemon or another
+    :param leaving_report_wall: wall-clock second of its newest such report
     :param paused_until: monotonic second until which it gets no requests
     :param failures: failures in a row
     :param ramp: concurrent requests allowed while it warms up, ``None`` when warm
@@ -45,8 +45,8 @@
     reported: int = 0
     service_time: float = 0.0
     is_listed_leaving: bool = False
-    is_leaving_itself: bool = False
-    sign_wall: float = 0.0
+    reports_leaving: bool = False
+    leaving_report_wall: float = 0.0
     paused_until: float = 0.0
     failures: int = 0
     ramp: int | None = None
@@ -62,23 +62,23 @@
 
     def list_leaving_signs(self) -> list[str]:
         """List the sources that report it as leaving."""
-        signs = (
+        reports = (
             ("operator", self.server.draining),
             ("platform", self.is_listed_leaving),
-            ("itself", self.is_leaving_itself),
+            ("itself", self.reports_leaving),
         )
-        return [source for source, says in signs if says]
+        return [source for source, is_leaving in reports if is_leaving]
 
-    def note_sign(self, *, is_leaving: bool, wall: float) -> bool:
+    def note_leaving_report(self, *, is_leaving: bool, wall: float) -> bool:
         """Apply a report that it is leaving, or works again, unless a newer one was applied.
 
-        :returns: whether it changed ``is_leaving_itself``
+        :returns: whether it changed ``reports_leaving``
         """
-        if wall < self.sign_wall:
+        if wall < self.leaving_report_wall:
             return False
-        self.sign_wall = wall
-        changed = self.is_leaving_itself != is_leaving
-        self.is_leaving_itself = is_leaving
+        self.leaving_report_wall = wall
+        changed = self.reports_leaving != is_leaving
+        self.reports_leaving = is_leaving
         if changed and not is_leaving:
             self.ramp = 1
         return changed
@@ -100,7 +100,7 @@
         self.failures = 0
         self.paused_until = 0.0
         self.used_at = now
-        weight = SMOOTHING if self.service_time else 1.0
+        weight = SMOOTHING_WEIGHT if self.service_time else 1.0
         self.service_time += weight * (seconds - self.service_time)
         self._warm_up()
 
@@ -113,7 +113,7 @@
         self.paused_until = now + compute_backoff(
             self.failures - FAILURES_BEFORE_PAUSE + 1,
             first=PAUSE_SECONDS,
-            longest=PAUSE_LIMIT_SECONDS,
+            longest=MAX_PAUSE_SECONDS,
         )
         self.ramp = 1
         self.ramp_successes = 0
@@ -166,17 +166,17 @@
         """
         before = self.states.get(server.name)
         if before is not None and not _is_same_run(before.server, server):
-            self.drop(server.name)
+            self.remove(server.name)
             before = None
         if before is not None and before.service == service:
             before.server = server
             return before
-        self.drop(server.name)
+        self.remove(server.name)
         state = self.states[server.name] = ServerState(server=server, service=service)
         self.by_service.setdefault(service, []).append(state)
         return state
 
-    def drop(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Remove a backend server."""
         state = self.states.pop(name, None)
         if state is None:
--- a/packages/dotterelgate-core/src/dotterelgate_core/sharing.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/sharing.py
@@ -36,7 +36,7 @@
 # costs, and heartbeats between all pairs grow with the square of the daemons.
 REMOTE_PEERS = 16
 # Interval at which counts that no peer repeats are removed.
-FORGET_SECONDS = 0.2
+EXPIRY_INTERVAL_SECONDS = 0.2
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -121,87 +121,87 @@
 
 def make_sharing_filter(state: DaemonState) -> Filter:
     """Build the filter that applies peers' messages to the shared view of the load."""
-    forgot_at = float("-inf")
+    expired_at = float("-inf")
 
     def share(message: Message) -> Iterable[Message]:
         if isinstance(message, LoadsReceived):
-            return _take_loads(state, message)
+            return _apply_loads(state, message)
         if isinstance(message, HeartbeatReceived):
-            return _take_heartbeat(state, message)
+            return _apply_heartbeat(state, message)
         if isinstance(message, ControlTicked):
-            nonlocal forgot_at
-            if message.now - forgot_at < FORGET_SECONDS:
+            nonlocal expired_at
+            if message.now - expired_at < EXPIRY_INTERVAL_SECONDS:
                 return (message,)
-            forgot_at = message.now
+            expired_at = message.now
             state.zone_daemons = max(1, len(select_alive(state, message.now, state.zone)))
-            return [*_forget_old(state, message.now), message]
+            return [*_expire_counts(state, message.now), message]
         return (message,)
 
     return share
 
 
-def _take_loads(state: DaemonState, heard: LoadsReceived) -> list[Message]:
+def _apply_loads(state: DaemonState, received: LoadsReceived) -> list[Message]:
     services: dict[str, None] = {}
-    for load in heard.loads:
+    for load in received.loads:
         server = state.servers.states.get(load.server)
         if server is None:
             continue
-        if heard.is_remote_zone:
-            _apply_remote_load(state, server, load, heard)
+        if received.is_remote_zone:
+            _apply_remote_load(state, server, load, received)
         else:
-            _take_load(server, load, heard)
+            _apply_load(server, load, received)
         services[server.service] = None
-    return free_slots(state, services, heard.now)
+    return free_slots(state, services, received.now)
 
 
-def _take_load(server: ServerState, load: ServerLoad, heard: LoadsReceived) -> None:
-    server.view.note_peer(heard.peer, load.in_flight, heard.now)
+def _apply_load(server: ServerState, load: ServerLoad, received: LoadsReceived) -> None:
+    server.view.note_peer(received.peer, load.in_flight, received.now)
     if load.report is not None:
-        server.view.note_report(load.report, server.in_flight, heard.now - load.age)
+        server.view.note_report(load.report, server.in_flight, received.now - load.age)
     if load.failed or load.pace is not None:
-        server.view.note_outcome(failed=load.failed, now=heard.now)
+        server.view.note_outcome(failed=load.failed, now=received.now)
     if load.pace is not None:
-        server.view.note_pace(load.pace, heard.now)
+        server.view.note_pace(load.pace, received.now)
 
 
 def _apply_remote_load(
-    state: DaemonState, server: ServerState, load: ServerLoad, heard: LoadsReceived
+    state: DaemonState, server: ServerState, load: ServerLoad, received: LoadsReceived
 ) -> None:
     """Apply the totals of another zone, and mark them to be sent within this one."""
     if load.report is None or server.server.zone == state.zone:
         return
-    server.view.note_report(load.report, server.in_flight, heard.now - load.age)
+    server.view.note_report(load.report, server.in_flight, received.now - load.age)
     server.view.is_untold = True
     state.servers.sampled.add(server.server.name)
 
 
-def _take_heartbeat(state: DaemonState, heard: HeartbeatReceived) -> list[Message]:
-    peer = state.peers.listed.get(heard.peer)
+def _apply_heartbeat(state: DaemonState, received: HeartbeatReceived) -> list[Message]:
+    peer = state.peers.listed.get(received.peer)
     messages: list[Message] = []
-    if peer is None or peer.incarnation != heard.incarnation:
-        state.peers.listed[heard.peer] = peer = Peer(
-            name=heard.peer, address=heard.address, zone=heard.zone, seen_at=heard.now
+    if peer is None or peer.incarnation != received.incarnation:
+        state.peers.listed[received.peer] = peer = Peer(
+            name=received.peer, address=received.address, zone=received.zone, seen_at=received.now
         )
-        _forget_peer(state, heard.peer)
-        sentence = f"{heard.peer} of {heard.zone} is alive"
-        messages.append(Decision(part="sharing", sentence=sentence, target=heard.peer))
-    state.peers.note_heartbeat(heard.peer, heard.incarnation, heard.now)
-    peer.address = heard.address
-    peer.leaving = heard.is_leaving
-    peer.can_decide = heard.can_decide
-    if heard.zone == state.zone:
-        _take_counts(state, heard)
+        _forget_peer(state, received.peer)
+        sentence = f"{received.peer} of {received.zone} is alive"
+        messages.append(Decision(part="sharing", sentence=sentence, target=received.peer))
+    state.peers.note_heartbeat(received.peer, received.incarnation, received.now)
+    peer.address = received.address
+    peer.leaving = received.is_leaving
+    peer.can_decide = received.can_decide
+    if received.zone == state.zone:
+        _apply_counts(state, received)
     return messages
 
 
-def _take_counts(state: DaemonState, heard: HeartbeatReceived) -> None:
+def _apply_counts(state: DaemonState, received: HeartbeatReceived) -> None:
     for name, server in state.servers.states.items():
-        count = heard.in_flight.get(name, 0)
-        if not count and heard.peer not in server.view.peers:
+        count = received.in_flight.get(name, 0)
+        if not count and received.peer not in server.view.peers:
             continue
-        server.view.note_peer(heard.peer, count, heard.now)
+        server.view.note_peer(received.peer, count, received.now)
         if count:
-            state.times.routed_at[server.service] = heard.now
+            state.times.routed_at[server.service] = received.now
 
 
 def _forget_peer(state: DaemonState, name: str) -> None:
@@ -209,10 +209,10 @@
         server.view.note_peer(name, 0, 0.0)
 
 
-def _forget_old(state: DaemonState, now: float) -> list[Message]:
+def _expire_counts(state: DaemonState, now: float) -> list[Message]:
     freed: dict[str, None] = {}
     for server in state.servers.states.values():
-        if server.view.forget_old(now):
+        if server.view.remove_stale_counts(now):
             freed[server.service] = None
     return free_slots(state, freed, now)
 
--- a/packages/dotterelgate-core/src/dotterelgate_core/state.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/state.py
@@ -83,5 +83,5 @@
     oldest: int = 0
     confirmed_offset: int = -1
     confirmed_at: float = float("-inf")
-    asked_at: float = float("-inf")
+    confirm_ordered_at: float = float("-inf")
     missing_since: float | None = None
