--- a/packages/dotterelgate-core/src/dotterelgate_core/peers.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/peers.py
@@ -29,7 +29,7 @@
     :param listed_leaving: whether the platform lists its VM as leaving
     :param is_suspected: whether a request to it went unanswered and no message came since
     :param seen_at: monotonic second of its last message
-    :param asked_at: monotonic second of the oldest request that it has not answered
+    :param pinged_at: monotonic second of the oldest request that it has not answered
     """
 
     name: str
@@ -41,8 +41,8 @@
     listed_leaving: bool = False
     is_suspected: bool = False
     seen_at: float = 0.0
-    asked_at: float | None = None
-    waiting: set[int] = field(default_factory=set)
+    pinged_at: float | None = None
+    pending_calls: set[int] = field(default_factory=set)
 
 
 @dataclass(kw_only=True, slots=True)
@@ -80,7 +80,7 @@
             peer.incarnation = incarnation
             peer.leaving = False
         peer.seen_at = now
-        peer.asked_at = None
+        peer.pinged_at = None
         peer.is_suspected = False
 
     def suspect(self, name: str) -> None:
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/peering.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/peering.py
@@ -79,15 +79,15 @@
         if peer is None or not self._links.send(order.peer, message, call_id=call.id):
             self._gateway.fail_peer(call.id, order.peer, sent=False)
             return
-        peer.waiting.add(call.id)
-        if peer.asked_at is None and len(peer.waiting) == 1:
+        peer.pending_calls.add(call.id)
+        if peer.pinged_at is None and len(peer.pending_calls) == 1:
             peer.seen_at = time.monotonic()
 
     def withdraw(self, call_id: int, peer_name: str) -> None:
         """Tell a peer that nobody waits for a call any more."""
         peer = self._peers.listed.get(peer_name)
         if peer is not None:
-            peer.waiting.discard(call_id)
+            peer.pending_calls.discard(call_id)
         message = Withdrawal(sender=self._name, incarnation=self._incarnation, call_id=call_id)
         self._links.send(peer_name, message, call_id=call_id)
 
@@ -119,31 +119,31 @@
             if gap > TICK_GAP_SECONDS and not peer.is_suspected:
                 # This process was paused, so the silence is its own.
                 peer.seen_at = now
-                peer.asked_at = None
+                peer.pinged_at = None
             elif peer.is_suspected:
                 self._ask_again(peer, now)
-            elif not peer.waiting:
-                peer.asked_at = None
-            elif peer.asked_at is not None:
-                if now - peer.asked_at > SILENT_AFTER_SECONDS:
+            elif not peer.pending_calls:
+                peer.pinged_at = None
+            elif peer.pinged_at is not None:
+                if now - peer.pinged_at > SILENT_AFTER_SECONDS:
                     self._give_up(peer.name)
             elif now - peer.seen_at > PING_AFTER_SECONDS:
                 self._ask(peer, now)
 
     def _ask(self, peer: Peer, now: float) -> None:
-        peer.asked_at = now
+        peer.pinged_at = now
         if not self._links.is_full(peer.name):
             ping = Ping(sender=self._name, incarnation=self._incarnation)
             self._links.send(peer.name, ping)
 
     def _ask_again(self, peer: Peer, now: float) -> None:
-        if peer.asked_at is None or now - peer.asked_at > SILENT_AFTER_SECONDS:
+        if peer.pinged_at is None or now - peer.pinged_at > SILENT_AFTER_SECONDS:
             self._ask(peer, now)
 
     def _give_up(self, peer_name: str) -> None:
         peer = self._peers.listed[peer_name]
         unsent = self._links.take_back(peer_name)
-        waiting, peer.waiting = peer.waiting, set()
+        waiting, peer.pending_calls = peer.pending_calls, set()
         self._peers.suspect(peer_name)
         for call_id in waiting:
             self._gateway.fail_peer(call_id, peer_name, sent=call_id not in unsent)
@@ -267,7 +267,7 @@
     def _end_waiting(self, message: AnswerPart) -> None:
         peer = self._peers.listed.get(message.sender)
         if peer is not None:
-            peer.waiting.discard(message.call_id)
+            peer.pending_calls.discard(message.call_id)
 
     def _take_withdrawal(self, message: Withdrawal) -> None:
         call_id = self._taken.pop((message.sender, message.call_id), None)
