--- a/packages/dotterelgate-core/src/dotterelgate_core/learning.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/learning.py
@@ -30,20 +30,20 @@
     view = server.view
     if load is not None:
         view.note_report(load, server.in_flight, message.now)
-        view.is_untold = True
+        view.has_unsent_report = True
     is_full = load is not None and load.running >= load.slots
     if not message.ran:
         view.note_outcome(failed=not is_full, now=message.now)
-        view.untold_failure = view.untold_failure or not is_full
+        view.has_unsent_failure = view.has_unsent_failure or not is_full
         return
     failed = message.status >= FIRST_FAILURE_STATUS
     view.note_outcome(failed=failed, now=message.now)
     if failed:
-        view.untold_failure = True
+        view.has_unsent_failure = True
         return
     routed = call_state.routed
     slowdown = max(1.0, call_state.expected_slowdown, load.slowdown if load is not None else 1.0)
     usual = state.times.estimate(routed.service, routed.route)
     state.times.learn(routed.service, routed.route, seconds / slowdown)
-    view.untold_pace = seconds / slowdown / usual
-    view.note_pace(view.untold_pace, message.now)
+    view.unsent_pace = seconds / slowdown / usual
+    view.note_pace(view.unsent_pace, message.now)
--- a/packages/dotterelgate-core/src/dotterelgate_core/loads.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/loads.py
@@ -53,10 +53,10 @@
     :param pace: smoothed ratio of measured to usual time
     :param failure_share: smoothed share of requests that failed
     :param learned_at: monotonic second of the last change of ``pace`` or ``failure_share``
-    :param is_untold: whether the report has not been sent to peers yet
-    :param untold_failure: whether a failure has not been sent to peers yet
+    :param has_unsent_report: whether the report has not been sent to peers yet
+    :param has_unsent_failure: whether a failure has not been sent to peers yet
     :param granted_at: monotonic second at which each peer's last request was granted
-    :param untold_pace: newest ratio, if it has not been sent to peers yet
+    :param unsent_pace: newest ratio, if it has not been sent to peers yet
     """
 
     peers: dict[str, tuple[int, float]] = field(default_factory=dict)
@@ -66,9 +66,9 @@
     pace: float = 1.0
     failure_share: float = 0.0
     learned_at: float = float("-inf")
-    is_untold: bool = False
-    untold_failure: bool = False
-    untold_pace: float | None = None
+    has_unsent_report: bool = False
+    has_unsent_failure: bool = False
+    unsent_pace: float | None = None
     granted_at: dict[str, float] = field(default_factory=dict)
 
     def count_others(self) -> int:
--- a/packages/dotterelgate-core/src/dotterelgate_core/observing.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/observing.py
@@ -66,7 +66,7 @@
     if server is not None:
         server.note_failure(message.now)
         server.view.note_outcome(failed=True, now=message.now)
-        server.view.untold_failure = True
+        server.view.has_unsent_failure = True
     free_slot(state, call_state, message.server)
     return [message, SlotFreed(now=message.now, service=call_state.routed.service.name)]
 
--- a/packages/dotterelgate-core/src/dotterelgate_core/sampling.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/sampling.py
@@ -155,10 +155,10 @@
     if not ended.answered or not is_same_server:
         sampling.unanswered.add(name)
         server.view.note_outcome(failed=True, now=ended.now)
-        server.view.untold_failure = True
+        server.view.has_unsent_failure = True
         return []
     sampling.unanswered.discard(name)
     if ended.load is not None:
         server.view.note_report(ended.load, server.in_flight, ended.now)
-        server.view.is_untold = True
+        server.view.has_unsent_report = True
     return free_slots(state, (ended.service,), ended.now)
--- a/packages/dotterelgate-core/src/dotterelgate_core/sharing.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/sharing.py
@@ -171,7 +171,7 @@
     if load.report is None or server.server.zone == state.zone:
         return
     server.view.note_report(load.report, server.in_flight, received.now - load.age)
-    server.view.is_untold = True
+    server.view.has_unsent_report = True
     state.servers.sampled.add(server.server.name)
 
 
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/mesh.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/mesh.py
@@ -285,7 +285,7 @@
 def build_load_entry(server: ServerState, now: float) -> LoadEntry:
     """Build what peers are told of a backend server, and note that it is told."""
     view = server.view
-    report = view.report if view.is_untold else None
+    report = view.report if view.has_unsent_report else None
     entry = LoadEntry(
         server=server.server.name,
         in_flight=server.in_flight,
@@ -294,12 +294,12 @@
         slots=0 if report is None else report.slots,
         slowdown_percent=PERCENT if report is None else int(report.slowdown * PERCENT),
         age_ms=int((now - view.reported_at) * MILLISECONDS) if report is not None else 0,
-        failed=view.untold_failure,
-        pace_percent=int(view.untold_pace * PERCENT) if view.untold_pace is not None else 0,
+        failed=view.has_unsent_failure,
+        pace_percent=int(view.unsent_pace * PERCENT) if view.unsent_pace is not None else 0,
     )
-    view.is_untold = False
-    view.untold_failure = False
-    view.untold_pace = None
+    view.has_unsent_report = False
+    view.has_unsent_failure = False
+    view.unsent_pace = None
     return entry
 
 
