--- a/packages/dotterelgate-core/src/dotterelgate_core/admission.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/admission.py
@@ -8,7 +8,7 @@
 from dotterelgate_core.codes import Refusal
 from dotterelgate_core.messages import CallRouted, CallSettled, Decision, SlotFreed, Ticked
 from dotterelgate_core.retry_after import choose_retry_after
-from dotterelgate_core.sharing import free_slots
+from dotterelgate_core.sharing import list_freed_slots
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
@@ -121,7 +121,7 @@
     for service, queue in state.waiting.queues.items():
         messages.extend(_refuse_overdue_in_queue(state, policies, queue, now))
         # The servers that a call accepts change as it waits, also without load updates.
-        messages.extend(free_slots(state, (service,), now))
+        messages.extend(list_freed_slots(state, (service,), now))
     return messages
 
 
--- a/packages/dotterelgate-core/src/dotterelgate_core/sampling.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/sampling.py
@@ -8,7 +8,7 @@
 from dotterelgate_core.control_messages import ControlTicked, Probe, ProbeEnded
 from dotterelgate_core.owners import is_granted, list_owners
 from dotterelgate_core.peers import rank_by_rendezvous
-from dotterelgate_core.sharing import free_slots, select_alive
+from dotterelgate_core.sharing import list_freed_slots, select_alive
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -161,4 +161,4 @@
     if ended.load is not None:
         server.view.note_report(ended.load, server.in_flight, ended.now)
         server.view.has_unsent_report = True
-    return free_slots(state, (ended.service,), ended.now)
+    return list_freed_slots(state, (ended.service,), ended.now)
--- a/packages/dotterelgate-core/src/dotterelgate_core/sharing.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/sharing.py
@@ -22,7 +22,7 @@
     "LoadsReceived",
     "ServerLoad",
     "find_remote_interval_factor",
-    "free_slots",
+    "list_freed_slots",
     "make_sharing_filter",
     "select_alive",
     "select_zone_peers",
@@ -151,7 +151,7 @@
         else:
             _apply_load(server, load, received)
         services[server.service] = None
-    return free_slots(state, services, received.now)
+    return list_freed_slots(state, services, received.now)
 
 
 def _apply_load(server: ServerState, load: ServerLoad, received: LoadsReceived) -> None:
@@ -214,10 +214,10 @@
     for server in state.servers.states.values():
         if server.view.remove_stale_counts(now):
             freed[server.service] = None
-    return free_slots(state, freed, now)
+    return list_freed_slots(state, freed, now)
 
 
-def free_slots(state: DaemonState, services: Iterable[str], now: float) -> list[Message]:
+def list_freed_slots(state: DaemonState, services: Iterable[str], now: float) -> list[Message]:
     """Report free slots of the services that requests wait for."""
     return [
         SlotFreed(now=now, service=name) for name in services if state.waiting.is_waited_for(name)
