--- a/features/steps/reading_steps.py
+++ b/features/steps/reading_steps.py
@@ -46,7 +46,7 @@
             elif answer_reads(front, orders):
                 reads[name] += 1
                 for other in others:
-                    news = RegistryUpdateReceived(now=fronts[other].now, returned_at=float("-inf"))
+                    news = RegistryUpdateReceived(now=fronts[other].now, recovered_at=float("-inf"))
                     fronts[other].tell(news)
 
 
--- a/packages/dotterelgate-core/src/dotterelgate_core/registry.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/registry.py
@@ -93,13 +93,13 @@
     :param offsets: position of the newest entry of each backend server
     :param lapsed: names of entries missing since an outage of the store, with the
         monotonic second from which they count as removed
-    :param returned_at: monotonic second at which the store answered again
+    :param recovered_at: monotonic second at which the store answered again
     :param is_unavailable: whether the store is unavailable to this daemon
     """
 
     offsets: dict[str, int] = field(default_factory=dict)
     lapsed: dict[str, float] = field(default_factory=dict)
-    returned_at: float = float("-inf")
+    recovered_at: float = float("-inf")
     is_unavailable: bool = False
 
 
@@ -122,7 +122,7 @@
 
 def _note_recovery(registry: RegistryState, now: float) -> list[Message]:
     registry.is_unavailable = False
-    registry.returned_at = now
+    registry.recovered_at = now
     for name in registry.lapsed:
         registry.lapsed[name] = now + RECOVERY_SECONDS
     return []
@@ -177,9 +177,9 @@
 ) -> list[Message]:
     if read.name not in state.servers.states:
         return []
-    since = read.now - registry.returned_at
+    since = read.now - registry.recovered_at
     if registry.is_unavailable or since < RECOVERY_SECONDS:
-        registry.lapsed[read.name] = max(read.now, registry.returned_at + RECOVERY_SECONDS)
+        registry.lapsed[read.name] = max(read.now, registry.recovered_at + RECOVERY_SECONDS)
         sentence = f"{read.name}: entry lapsed while the store was unavailable; waiting for it"
         return [Decision(part="registry", sentence=sentence, target=read.name)]
     return [
--- a/packages/dotterelgate-core/src/dotterelgate_core/store_reading.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/store_reading.py
@@ -100,11 +100,11 @@
 class RegistryUpdateReceived:
     """A peer read the registry, and this daemon has all entries that the peer read.
 
-    :param returned_at: monotonic second at which the store answered the peer again
+    :param recovered_at: monotonic second at which the store answered the peer again
     """
 
     now: float
-    returned_at: float
+    recovered_at: float
 
 
 @dataclass(kw_only=True, slots=True)
@@ -261,6 +261,6 @@
     reading.current_at = max(reading.current_at, update.now)
     reading.update_received_at = update.now
     registry.is_unavailable = False
-    if update.returned_at > registry.returned_at:
-        return [StoreRecovered(now=update.returned_at)]
+    if update.recovered_at > registry.recovered_at:
+        return [StoreRecovered(now=update.recovered_at)]
     return []
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/registry_following.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/registry_following.py
@@ -194,7 +194,7 @@
         entries = [entry for _, entry in self._recent]
         if sum(_measure(each) for each in entries) > NEWS_BYTES:
             start, entries = position, []
-        returned = now - self._registry.returned_at
+        returned = now - self._registry.recovered_at
         update = RegistryUpdate(
             sender=self._state.name,
             start=start,
@@ -212,12 +212,12 @@
         ]
         now = time.monotonic()
         if update.returned_ms >= 0:
-            returned_at = now - update.returned_ms / MILLISECONDS
+            recovered_at = now - update.returned_ms / MILLISECONDS
         else:
-            returned_at = float("-inf")
+            recovered_at = float("-inf")
         position = self._reader.position
         if position is not None and position >= update.start:
-            self._emit(RegistryUpdateReceived(now=now, returned_at=returned_at))
+            self._emit(RegistryUpdateReceived(now=now, recovered_at=recovered_at))
             self._reader.position = max(position, update.end)
         self._take_records(records, update.sender)
 
