--- a/packages/dotterelgate-core/src/dotterelgate_core/expected_time.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/expected_time.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from dotterelgate_core.calls import CALLER_NETWORK_SECONDS
-from dotterelgate_core.loads import CONNECTED_SECONDS
+from dotterelgate_core.loads import CONNECTION_REUSE_SECONDS
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
@@ -76,7 +76,7 @@
     """Return whether the daemon that has the call likely has an idle connection there."""
     if call.requester is not None:
         return state.view.is_connected(call.requester, now)
-    return not state.in_flight and now - state.used_at < CONNECTED_SECONDS
+    return not state.in_flight and now - state.used_at < CONNECTION_REUSE_SECONDS
 
 
 def _is_good_enough(call: CallState, factor: float, now: float) -> bool:
@@ -108,7 +108,7 @@
 
     :param zone: availability zone of this daemon
     """
-    weight = 1.0 + FAILURE_COST * state.view.estimate_failing(now)
+    weight = 1.0 + FAILURE_COST * state.view.estimate_failure_share(now)
     return weight * OTHER_ZONE_FACTOR if zone and state.server.zone != zone else weight
 
 
--- a/packages/dotterelgate-core/src/dotterelgate_core/loads.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/loads.py
@@ -23,7 +23,7 @@
 PACE_LIMIT = 6.0
 # An idle connection is assumed usable for this long: the platform's backend servers
 # close it after 10 s.
-CONNECTED_SECONDS = 8.0
+CONNECTION_REUSE_SECONDS = 8.0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -104,7 +104,9 @@
     def is_connected(self, peer: str, now: float) -> bool:
         """Return whether a peer probably has an idle connection from an earlier request."""
         busy = peer in self.peers
-        return not busy and now - self.granted_at.get(peer, float("-inf")) < CONNECTED_SECONDS
+        return (
+            not busy and now - self.granted_at.get(peer, float("-inf")) < CONNECTION_REUSE_SECONDS
+        )
 
     def remove_stale_counts(self, now: float) -> bool:
         """Remove counts that no peer repeated.
@@ -145,7 +147,7 @@
         """Estimate the lasting slowness of the backend server itself, at least 1."""
         return 1.0 + max(0.0, self.pace - 1.0) * self._compute_decay(now)
 
-    def estimate_failing(self, now: float) -> float:
+    def estimate_failure_share(self, now: float) -> float:
         """Estimate the share of requests that fail, 0 to 1."""
         return self.failure_share * self._compute_decay(now)
 
