--- a/packages/dotterelgate-core/src/dotterelgate_core/servers.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/servers.py
@@ -58,9 +58,9 @@
 
     def is_eligible(self, now: float) -> bool:
         """Return whether it may get new requests."""
-        return not self.list_leaving_signs() and self.paused_until <= now
+        return not self.list_leaving_sources() and self.paused_until <= now
 
-    def list_leaving_signs(self) -> list[str]:
+    def list_leaving_sources(self) -> list[str]:
         """List the sources that report it as leaving."""
         reports = (
             ("operator", self.server.draining),
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/explanation.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/explanation.py
@@ -50,7 +50,7 @@
         "in_flight": server.in_flight,
         "slots": server.server.slots,
         "load": server.count_load(),
-        "leaving": server.list_leaving_signs(),
+        "leaving": server.list_leaving_sources(),
         "eligible": server.is_eligible(now),
         "failures": server.failures,
     }
