--- a/packages/dotterelgate-core/src/dotterelgate_core/leases.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/leases.py
@@ -282,7 +282,7 @@
             transfer=current.body.transfer,
         )
 
-    def note_arrival(self, resource: str, transfer: str) -> None:
+    def note_keys_received(self, resource: str, transfer: str) -> None:
         """Note that the keys of a handover have been received."""
         self.leases[resource].received_transfer = transfer
 
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/key_transfer.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/key_transfer.py
@@ -130,7 +130,7 @@
             return
         if not self._is_open(resource):
             self._keep_keys(message)
-            self._state.leases.note_arrival(resource, message.transfer)
+            self._state.leases.note_keys_received(resource, message.transfer)
         taken = KeysTaken(
             sender=self._state.name,
             incarnation=self._incarnation,
