--- a/features/subjects/publications.py
+++ b/features/subjects/publications.py
@@ -86,7 +86,7 @@
         elif action < 0.9:
             offer = rng.choice(readers).state.current
             if offer is not None and not self.is_naive:
-                reader.state.take_from_peer(offer)
+                reader.state.adopt(offer)
             self._check(reader, before)
         elif action < 0.95 and self._log:
             self._repeat(rng.choice(self._log))
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/slopes.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/slopes.py
@@ -115,7 +115,7 @@
             checked = ConfigurationModel.model_validate_json(document)
             configuration = build_configuration(checked, id="c", revision=1)
             state = ConfigurationState()
-            state.take_from_peer(configuration)
+            state.adopt(configuration)
             table = ServerTable()
             table.follow_configuration(configuration.services, warm=True)
             return checked, state, table
@@ -137,7 +137,7 @@
 def measure_routing(model: ConfigurationModel) -> float:
     """Measure the microseconds to match a request with its route."""
     configuration = ConfigurationState()
-    configuration.take_from_peer(build_configuration(model, id="c", revision=1))
+    configuration.adopt(build_configuration(model, id="c", revision=1))
     last = len(model.services) - 1
     call = Call(id=1, method="GET", host=f"host-{last}", path="/x")
     started = time.perf_counter()
--- a/packages/dotterelgate-core/src/dotterelgate_core/configuration.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/configuration.py
@@ -210,7 +210,7 @@
         self.chain.confirm(link)
         return self._apply_accepted()
 
-    def take_from_peer(self, configuration: Configuration) -> bool:
+    def adopt(self, configuration: Configuration) -> bool:
         """Apply a configuration that the store holds or a peer has in force.
 
         :returns: whether it is newer than the one in force here
--- a/packages/dotterelgate-core/src/dotterelgate_core/control.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/control.py
@@ -93,7 +93,7 @@
                 position.confirmed_at = message.now
             return _announce(state, message.now, "a confirmation", changed=changed)
         if isinstance(message, ConfigurationReceived):
-            changed = state.configuration.take_from_peer(message.configuration)
+            changed = state.configuration.adopt(message.configuration)
             return _announce(state, message.now, message.peer, changed=changed)
         return (message,)
 
--- a/packages/dotterelgate-core/src/dotterelgate_core/store_control.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/store_control.py
@@ -68,7 +68,7 @@
     def configure(message: Message) -> Iterable[Message]:
         if not isinstance(message, ConfigurationStored):
             return (message,)
-        if not state.configuration.take_from_peer(message.configuration):
+        if not state.configuration.adopt(message.configuration):
             return ()
         return _announce(message)
 
