--- a/packages/dotterelgate-core/src/dotterelgate_core/peers.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/peers.py
@@ -27,9 +27,10 @@
     :param leaving: whether that run announced that it stops
     :param can_decide: whether it has a configuration and backend servers
     :param listed_leaving: whether the platform lists its VM as leaving
-    :param is_suspected: whether a request to it went unanswered and no message came since
+    :param is_suspected: whether a call or ping to it went unanswered and no message came since
     :param seen_at: monotonic second of its last message
-    :param pinged_at: monotonic second of the oldest request that it has not answered
+    :param pinged_at: monotonic second of a ping that it has not answered
+    :param pending_calls: ids of calls sent to it whose answers are outstanding
     """
 
     name: str
--- a/packages/dotterelgate-core/src/dotterelgate_core/registry.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/registry.py
@@ -25,7 +25,7 @@
 ]
 
 # Entries that expired while the store was unavailable are written again within about
-# two seconds of its recovery; one still missing then counts as removed.
+# two seconds of its recovery, as the users state; one missing then counts as removed.
 RECOVERY_SECONDS = 2.2
 # Connection limit of a backend server whose service sets none.
 DEFAULT_CONNECTIONS = 100
