--- a/packages/dotterelgate-border/src/dotterelgate_border/declarations.py
+++ b/packages/dotterelgate-border/src/dotterelgate_border/declarations.py
@@ -74,9 +74,9 @@
         services = [service.name for service in self.services]
         servers = [server.name for service in self.services for server in service.servers]
         for kind, names in (("service", services), ("backend server", servers)):
-            twice = sorted({name for name in names if names.count(name) > 1})
-            if twice:
-                raise ValueError(f"{kind} names must be unique; {', '.join(twice)} stands twice")
+            repeated = sorted({name for name in names if names.count(name) > 1})
+            if repeated:
+                raise ValueError(f"{kind} names must be unique; {', '.join(repeated)} stands twice")
         return self
 
 
--- a/packages/dotterelgate-border/src/dotterelgate_border/handover.py
+++ b/packages/dotterelgate-border/src/dotterelgate_border/handover.py
@@ -171,14 +171,14 @@
 
     :param transfer: id of that grant
     :param history_from: wall-clock second before which keys may have run elsewhere
-    :param history_left: seconds for which such keys may still come
+    :param history_remaining: seconds for which such keys may still come
     """
 
     target: str
     resource: str
     transfer: str
     history_from: float | None
-    history_left: float
+    history_remaining: float
     keys: list[HandedKey]
 
 
--- a/packages/dotterelgate-border/src/dotterelgate_border/problems.py
+++ b/packages/dotterelgate-border/src/dotterelgate_border/problems.py
@@ -30,8 +30,8 @@
     try:
         return json.loads(path.read_text(encoding="utf-8"))
     except OSError as error:
-        cure = "name a file that can be read"
-        raise InvalidDocumentError(problems=[f"{path}: {error.strerror}; {cure}"]) from error
+        remedy = "name a file that can be read"
+        raise InvalidDocumentError(problems=[f"{path}: {error.strerror}; {remedy}"]) from error
     except ValueError as error:
         raise InvalidDocumentError(
             problems=[f"{path}: not valid JSON: {error}; correct the file"]
--- a/packages/dotterelgate-border/src/dotterelgate_border/settings.py
+++ b/packages/dotterelgate-border/src/dotterelgate_border/settings.py
@@ -19,7 +19,7 @@
 _PORT = r"(?:6553[0-5]|655[0-2]\d|65[0-4]\d\d|6[0-4]\d{3}|[1-5]\d{4}|\d{1,4})"
 _ADDRESS = rf"^{_OCTET}(?:\.{_OCTET}){{3}}:{_PORT}$"
 _NAME = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$"
-_RULES = {
+_MESSAGES = {
     _ADDRESS: "must be an IPv4 number and a port such as 10.0.0.5:8080",
     _NAME: "must be letters, digits, dots, hyphens and underscores",
 }
@@ -107,5 +107,5 @@
 
 def _explain(error: msgspec.ValidationError) -> str:
     message = str(error)
-    rules = (rule for pattern, rule in _RULES.items() if repr(pattern)[1:-1] in message)
-    return next(rules, message)
+    messages = (text for pattern, text in _MESSAGES.items() if repr(pattern)[1:-1] in message)
+    return next(messages, message)
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/assembly.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/assembly.py
@@ -237,13 +237,13 @@
 
     log = LogClient(
         client=make_client(settings.log, "log"),
-        begin=follower.begin,
-        take=follower.take_record,
-        read=follower.take_position,
-        lost=note_log_failure,
+        on_begin=follower.begin,
+        on_record=follower.receive_record,
+        on_read=follower.receive_position,
+        on_failure=note_log_failure,
     )
     vms = VmListClient(
-        client=make_client(settings.vms, "vms"), take=follower.take_vms, lost=note_vms_failure
+        client=make_client(settings.vms, "vms"), on_list=follower.receive_vms, on_failure=note_vms_failure
     )
     return log, vms
 
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/configuration_following.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/configuration_following.py
@@ -25,10 +25,10 @@
 
 # The store holds a read back until something is written, at most so long. A lost
 # answer is noticed after this and the client's own limit.
-WAIT_SECONDS = 5.0
+LONG_POLL_SECONDS = 5.0
 # A datagram holds at most 65,507 bytes; parts stay well below.
 PART_BYTES = 32_000
-ASK_SECONDS = 0.5
+REQUEST_INTERVAL_SECONDS = 0.5
 
 
 class ConfigurationFollower:
@@ -41,30 +41,30 @@
         self._emit = access.emit
         self._document = b""
         self._parts: dict[tuple[str, int], dict[int, bytes]] = {}
-        self._asked_at = float("-inf")
+        self._requested_at = float("-inf")
         self._dependency = Dependency(name="the configuration's topic")
         self._reader = KeyedReader(
             topic=Topic.CONFIGURATION,
             calls=access.calls,
             client=access.client,
-            take=self._take_records,
-            listed=lambda keys, end: None,
-            done=self._end_read,
-            failed=self._fail,
+            on_records=self._apply_records,
+            on_listed=lambda keys, end: None,
+            on_done=self._end_read,
+            on_failure=self._fail,
         )
 
     def read(self) -> None:
         """Read the configuration; if it was read before, wait for a newer one."""
-        self._reader.read(wait=WAIT_SECONDS)
+        self._reader.read(wait=LONG_POLL_SECONDS)
 
     def receive(self, message: Datagram) -> None:
         """Take a peer's message."""
         if isinstance(message, Heartbeat):
-            self._compare(message)
+            self._request_if_newer(message)
         elif isinstance(message, ConfigurationRequest):
-            self._answer(message)
+            self._send_configuration(message)
         elif isinstance(message, ConfigurationPart):
-            self._take_part(message)
+            self._receive_part(message)
 
     def _end_read(self) -> None:
         self._dependency.note_answer()
@@ -74,12 +74,12 @@
         self._dependency.note_failure(reason)
         self._emit(ConfigurationReadFailed(now=time.monotonic(), reason=reason))
 
-    def _take_records(self, records: list[StoreRecord]) -> None:
+    def _apply_records(self, records: list[StoreRecord]) -> None:
         for record in records:
             if record.key == self._calls.configuration_key and record.value is not None:
-                self._take_document(record.value, "the store")
+                self._apply_document(record.value, "the store")
 
-    def _take_document(self, document: bytes, source: str) -> None:
+    def _apply_document(self, document: bytes, source: str) -> None:
         configuration = self._calls.decode_configuration(document)
         if isinstance(configuration, Refusal):
             logger.warning(
@@ -94,17 +94,17 @@
         now = time.monotonic()
         self._emit(ConfigurationStored(now=now, configuration=configuration, source=source))
 
-    def _compare(self, heartbeat: Heartbeat) -> None:
+    def _request_if_newer(self, heartbeat: Heartbeat) -> None:
         current = self._state.configuration.current
         own = current.revision if current is not None else 0
         now = time.monotonic()
-        if heartbeat.revision <= own or now - self._asked_at < ASK_SECONDS:
+        if heartbeat.revision <= own or now - self._requested_at < REQUEST_INTERVAL_SECONDS:
             return
-        self._asked_at = now
+        self._requested_at = now
         request = ConfigurationRequest(sender=self._state.name, address=self._mesh.address)
         self._mesh.send_message(heartbeat.address, request)
 
-    def _answer(self, request: ConfigurationRequest) -> None:
+    def _send_configuration(self, request: ConfigurationRequest) -> None:
         current = self._state.configuration.current
         if current is None or not self._document:
             return
@@ -120,7 +120,7 @@
             )
             self._mesh.send_message(request.address, message)
 
-    def _take_part(self, message: ConfigurationPart) -> None:
+    def _receive_part(self, message: ConfigurationPart) -> None:
         key = (message.sender, message.revision)
         parts = self._parts.setdefault(key, {})
         parts[message.part] = message.body
@@ -132,4 +132,4 @@
         except (zlib.error, KeyError) as error:
             logger.warning("store: a peer's configuration is broken", reason=repr(error))
             return
-        self._take_document(document, message.sender)
+        self._apply_document(document, message.sender)
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/directory.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/directory.py
@@ -40,10 +40,10 @@
             topic=Topic.DAEMONS,
             calls=access.calls,
             client=access.client,
-            take=self._send_first_heartbeats,
-            listed=lambda keys, end: None,
-            done=self._dependency.note_answer,
-            failed=lambda reason: self._try_again(reason, self._reader.read),
+            on_records=self._send_first_heartbeats,
+            on_listed=lambda keys, end: None,
+            on_done=self._dependency.note_answer,
+            on_failure=lambda reason: self._retry_later(reason, self._reader.read),
         )
 
     def start(self) -> None:
@@ -54,18 +54,18 @@
             method=request.method,
             path=request.path,
             body=request.body,
-            answered=self._take_answer,
-            failed=lambda reason: self._try_again(reason, self.start),
+            on_answer=self._receive_answer,
+            on_failure=lambda reason: self._retry_later(reason, self.start),
         )
 
-    def _take_answer(self, status: int, _body: bytes) -> None:
+    def _receive_answer(self, status: int, _body: bytes) -> None:
         if status != HTTPStatus.OK:
-            self._try_again(f"the entry was answered with status {status}", self.start)
+            self._retry_later(f"the entry was answered with status {status}", self.start)
             return
         self._dependency.note_answer()
         self._reader.read()
 
-    def _try_again(self, reason: str, call: Callable[[], None]) -> None:
+    def _retry_later(self, reason: str, call: Callable[[], None]) -> None:
         self._timers.call_after(delay=self._dependency.note_failure(reason), call=call)
 
     def _send_first_heartbeats(self, records: list[StoreRecord]) -> None:
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/following.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/following.py
@@ -74,7 +74,7 @@
         self.send_keys: Callable[[control.SendKeys], None] = lambda order: None
         self._state = state
         self._position = position
-        self._sign: dict[str, Any] = {"sender": state.name, "incarnation": incarnation}
+        self._identity: dict[str, Any] = {"sender": state.name, "incarnation": incarnation}
         self._decide = decide
         self._choose = choose
         self._links = links
@@ -103,7 +103,7 @@
         self.run(control.LogReadStarted(now=time.monotonic(), start=start))
         self.request_configuration()
 
-    def take_record(self, offset: int, document: dict) -> None:
+    def receive_record(self, offset: int, document: dict) -> None:
         """Take one record of the log; others than the project's are passed over."""
         try:
             record = record_adapter.validate_python(document)
@@ -113,11 +113,11 @@
         for message in self._read_record(offset, record):
             self.run(message)
 
-    def take_position(self, read_to: int, oldest: int) -> None:
+    def receive_position(self, read_to: int, oldest: int) -> None:
         """Note that every retained record below an offset is read."""
         self.run(control.LogRead(now=time.monotonic(), read_to=read_to, oldest=oldest))
 
-    def take_vms(self, listed: VmList) -> None:
+    def receive_vms(self, vm_list: VmList) -> None:
         """Take the platform's list of VMs."""
         vms = tuple(
             control.Vm(
@@ -127,13 +127,13 @@
                 address=vm.address,
                 state=vm.state,
             )
-            for vm in listed.vms
+            for vm in vm_list.vms
         )
         self.run(control.VmsRead(now=time.monotonic(), vms=vms))
         for peer in self._state.peers.listed.values():
             if self._links.connect_peer(peer.name, peer.address):
                 # The first message tells the peer which run of this daemon it meets.
-                self._links.send(peer.name, Ping(**self._sign))
+                self._links.send(peer.name, Ping(**self._identity))
         for name in self._state.peers.removed:
             self._links.disconnect_peer(name)
         self.request_configuration()
@@ -143,7 +143,7 @@
         configuration = self._state.configuration
         if configuration.current is not None and configuration.chain.known:
             return
-        request = ConfigurationOffer(**self._sign)
+        request = ConfigurationOffer(**self._identity)
         for name in self._state.peers.listed:
             self._links.send(name, request)
 
@@ -151,7 +151,7 @@
         """Ask one peer for records, because the log cannot be read."""
         usable = [each for each in self._state.peers.select_usable() if each != self._state.name]
         if usable and self.log is not None:
-            request = RecordsAsked(**self._sign, start=self.log.next)
+            request = RecordsAsked(**self._identity, start=self.log.next)
             self._links.send(self._choose(usable), request)
 
     def receive(self, message: PeerMessage) -> bool:
@@ -176,32 +176,32 @@
         wall = time.time()
         self.run(control.ControlTicked(now=time.monotonic(), wall=wall))
 
-    def announce_leaving(self, seen: control.AnnounceLeaving) -> None:
+    def announce_leaving(self, order: control.AnnounceLeaving) -> None:
         """Share a sign that a backend server is leaving, by peers and by the log."""
-        heard = control.LeavingReceived(
+        received = control.LeavingReceived(
             now=time.monotonic(),
-            server=seen.server,
+            server=order.server,
             source=self._state.name,
-            is_leaving=seen.is_leaving,
-            wall=seen.wall,
+            is_leaving=order.is_leaving,
+            wall=order.wall,
         )
-        self.run(heard)
+        self.run(received)
         notice = LeavingNotice(
-            **self._sign, server=seen.server, is_leaving=seen.is_leaving, wall=seen.wall
+            **self._identity, server=order.server, is_leaving=order.is_leaving, wall=order.wall
         )
         for name in self._state.peers.listed:
             self._links.send(name, notice)
         sign = LeavingSign(
-            server=seen.server,
-            is_leaving=seen.is_leaving,
-            wall=seen.wall,
+            server=order.server,
+            is_leaving=order.is_leaving,
+            wall=order.wall,
             writer=self._state.name,
         )
         self._append(sign.model_dump())
 
     def announce_stopping(self) -> None:
         """Tell the peers that this daemon takes no new work."""
-        notice = LeavingNotice(**self._sign)
+        notice = LeavingNotice(**self._identity)
         for name in self._state.peers.listed:
             self._links.send(name, notice)
 
@@ -218,22 +218,22 @@
                 control.GrantRead(now=now, link=_link_grant(offset, record, grant))
                 for grant in record.grants
             ]
-        heard = control.LeavingReceived(
+        received = control.LeavingReceived(
             now=now,
             server=record.server,
             source=record.writer,
             is_leaving=record.is_leaving,
             wall=record.wall,
         )
-        return [heard]
+        return [received]
 
     def _send_records(self, message: RecordsAsked) -> None:
         assert self.log is not None
         page = self.log.build_page(message.start)
         if page is None or (message.start is not None and page.next <= message.start):
             return
-        told = RecordsTold(**self._sign, page=page.model_dump_json().encode("utf-8"))
-        self._links.send(message.sender, told)
+        reply = RecordsTold(**self._identity, page=page.model_dump_json().encode("utf-8"))
+        self._links.send(message.sender, reply)
 
     def _receive_records(self, message: RecordsTold) -> None:
         assert self.log is not None
@@ -242,23 +242,23 @@
         except ValidationError:
             logger.warning("following: a peer's records are not valid", peer=message.sender)
             return
-        self.log.take_from_peer(page)
+        self.log.receive_from_peer(page)
 
     def _receive_offer(self, message: ConfigurationOffer) -> None:
         if message.id:
             model = ConfigurationModel.model_validate_json(message.document)
             self.documents[message.id] = model
             configuration = build_configuration(model, id=message.id, revision=message.revision)
-            heard = control.ConfigurationReceived(
+            received = control.ConfigurationReceived(
                 now=time.monotonic(), peer=message.sender, configuration=configuration
             )
-            self.run(heard)
+            self.run(received)
             return
         current = self._state.configuration.current
         if current is None:
             return
         offer = ConfigurationOffer(
-            **self._sign,
+            **self._identity,
             id=current.id,
             revision=current.revision,
             document=self.documents[current.id].model_dump_json().encode("utf-8"),
@@ -267,14 +267,14 @@
 
     def _receive_leaving(self, message: LeavingNotice) -> None:
         if message.server:
-            heard = control.LeavingReceived(
+            received = control.LeavingReceived(
                 now=time.monotonic(),
                 server=message.server,
                 source=message.sender,
                 is_leaving=message.is_leaving,
                 wall=message.wall,
             )
-            self.run(heard)
+            self.run(received)
             return
         peer = self._state.peers.listed.get(message.sender)
         if peer is not None:
@@ -304,8 +304,8 @@
 
     def _change_configuration(self, change: control.ConfigurationChanged) -> None:
         self._metrics.revision.set(change.configuration.revision)
-        kept = change.configuration.id
-        self.documents = {kept: self.documents[kept]}
+        current_id = change.configuration.id
+        self.documents = {current_id: self.documents[current_id]}
 
 
 def build_grant_model(claim_id: str, previous: str | None, grant: Grant) -> GrantModel:
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/key_transfer.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/key_transfer.py
@@ -82,7 +82,7 @@
             resource=order.resource,
             transfer=order.transfer,
             history_from=key_range.history_from,
-            history_left=key_range.history_until - now,
+            history_remaining=key_range.history_until - now,
             keys=[_encode_entry(digest, entry, now) for digest, entry in key_range.entries.items()],
         )
         self._links.send(order.successor, message)
@@ -93,51 +93,51 @@
         :returns: whether it was one
         """
         if isinstance(message, HandedKeys):
-            self._take_keys(message)
+            self._receive_keys(message)
         elif isinstance(message, KeysTaken):
             self._emit(control.KeysReceived(resource=message.resource, transfer=message.transfer))
         elif isinstance(message, RangeOffer):
-            self._take_offer(message)
+            self._receive_offer(message)
         elif isinstance(message, RangeTaken):
-            taken = control.OfferAccepted(
+            accepted = control.OfferAccepted(
                 resource=message.resource,
                 transfer=message.transfer,
                 incarnation=message.incarnation,
             )
-            self._emit(taken)
+            self._emit(accepted)
         else:
             return False
         return True
 
-    def _take_offer(self, message: RangeOffer) -> None:
+    def _receive_offer(self, message: RangeOffer) -> None:
         if message.target != self._state.name or self._state.peers.leaving:
             return
         wall = time.time()
         moment = Moment(now=time.monotonic(), wall=wall)
         self._state.leases.expect_transfer(message.transfer, moment)
-        taken = RangeTaken(
+        reply = RangeTaken(
             sender=self._state.name,
             incarnation=self._incarnation,
             resource=message.resource,
             transfer=message.transfer,
         )
-        self._links.send(message.sender, taken)
+        self._links.send(message.sender, reply)
 
-    def _take_keys(self, message: HandedKeys) -> None:
+    def _receive_keys(self, message: HandedKeys) -> None:
         resource = message.resource
         lease = self._state.leases.leases.get(resource)
         if message.target != self._state.name or lease is None:
             return
         if not self._is_open(resource):
-            self._keep_keys(message)
+            self._store_keys(message)
             self._state.leases.note_keys_received(resource, message.transfer)
-        taken = KeysTaken(
+        reply = KeysTaken(
             sender=self._state.name,
             incarnation=self._incarnation,
             resource=resource,
             transfer=message.transfer,
         )
-        self._links.send(message.sender, taken)
+        self._links.send(message.sender, reply)
 
     def _is_open(self, resource: str) -> bool:
         # Keys that come after the range was opened without them are too late.
@@ -145,7 +145,7 @@
         key_range = self._state.keys.ranges.get(resource)
         return tenure is not None and key_range is not None and key_range.tenure == tenure.id
 
-    def _keep_keys(self, message: HandedKeys) -> None:
+    def _store_keys(self, message: HandedKeys) -> None:
         now = time.monotonic()
         entries = {
             int.from_bytes(key.digest, "big"): _decode_entry(key, now) for key in message.keys
@@ -153,7 +153,7 @@
         self._state.keys.ranges[message.resource] = KeyRange(
             tenure=message.transfer,
             history_from=message.history_from,
-            history_until=now + message.history_left,
+            history_until=now + message.history_remaining,
             entries=entries,
         )
 
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/keyed_reading.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/keyed_reading.py
@@ -24,9 +24,9 @@
 
 logger = structlog.get_logger("store")
 
-FIRST_PAUSE_SECONDS = 0.5
+FIRST_BACKOFF_SECONDS = 0.5
 # A store that does not answer is asked no more often; refused calls cost as well.
-LONGEST_PAUSE_SECONDS = 2.0
+LONGEST_BACKOFF_SECONDS = 2.0
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -57,8 +57,8 @@
     def note_answer(self) -> None:
         """Note that it answered."""
         if self._failures:
-            lost = round(time.monotonic() - self._since, 3)
-            logger.info(f"store: {self._name} is back", seconds=lost, failures=self._failures)
+            outage = round(time.monotonic() - self._since, 3)
+            logger.info(f"store: {self._name} is back", seconds=outage, failures=self._failures)
         self._failures = 0
 
     def note_failure(self, reason: str) -> float:
@@ -71,17 +71,17 @@
             logger.warning(f"store: {self._name} is lost", reason=reason)
         self._failures += 1
         return compute_backoff(
-            self._failures, first=FIRST_PAUSE_SECONDS, longest=LONGEST_PAUSE_SECONDS
+            self._failures, first=FIRST_BACKOFF_SECONDS, longest=LONGEST_BACKOFF_SECONDS
         )
 
 
 class KeyedReader:
     """Reads one topic: all keys first, then what is written after.
 
-    :param take: called with records, in order
-    :param listed: called with the keys and the end after all keys were read
-    :param done: called when a read is over
-    :param failed: called with the reason when one failed
+    :param on_records: called with records, in order
+    :param on_listed: called with the keys and the end after all keys were read
+    :param on_done: called when a read is over
+    :param on_failure: called with the reason when one failed
     """
 
     def __init__(
@@ -90,21 +90,21 @@
         topic: Topic,
         calls: StoreCalls,
         client: PlatformClient,
-        take: Callable[[list[StoreRecord]], None],
-        listed: Callable[[frozenset[str], int], None],
-        done: Callable[[], None],
-        failed: Callable[[str], None],
+        on_records: Callable[[list[StoreRecord]], None],
+        on_listed: Callable[[frozenset[str], int], None],
+        on_done: Callable[[], None],
+        on_failure: Callable[[str], None],
     ) -> None:
         self.position: int | None = None
         self._topic = topic
         self._calls = calls
         self._client = client
-        self._take = take
-        self._listed = listed
-        self._done = done
-        self._failed = failed
+        self._on_records = on_records
+        self._on_listed = on_listed
+        self._on_done = on_done
+        self._on_failure = on_failure
         self._keys: set[str] = set()
-        self._first_end = 0
+        self._listing_end = 0
 
     def read(self, *, wait: float = 0.0) -> None:
         """Read what is new; at first, all that there is.
@@ -121,9 +121,9 @@
             method=request.method,
             path=request.path,
             body=request.body,
-            answered=lambda status, body: self._take_tail(start, status, body),
-            failed=self._failed,
-            patience=wait,
+            on_answer=lambda status, body: self._receive_tail(start, status, body),
+            on_failure=self._on_failure,
+            extra_timeout=wait,
         )
 
     def _list(self, after: str) -> None:
@@ -132,44 +132,44 @@
             method=request.method,
             path=request.path,
             body=request.body,
-            answered=lambda status, body: self._take_page(after, status, body),
-            failed=self._failed,
+            on_answer=lambda status, body: self._receive_page(after, status, body),
+            on_failure=self._on_failure,
         )
 
-    def _take_page(self, after: str, status: int, body: bytes) -> None:
+    def _receive_page(self, after: str, status: int, body: bytes) -> None:
         page = self._calls.decode_listing(status, body)
         if isinstance(page, Refusal):
-            self._failed(page.reason)
+            self._on_failure(page.reason)
             return
         if not after:
-            self._first_end = page.end
-        self._take_records(page)
+            self._listing_end = page.end
+        self._apply_page(page)
         if not page.is_last and page.records:
             self._list(page.records[-1].key)
             return
         # A later page may show newer records; the tail from the first page's end
         # repeats them.
-        self.position = self._first_end
-        self._listed(frozenset(self._keys), self._first_end)
-        self._done()
+        self.position = self._listing_end
+        self._on_listed(frozenset(self._keys), self._listing_end)
+        self._on_done()
 
-    def _take_records(self, page: Listing) -> None:
+    def _apply_page(self, page: Listing) -> None:
         self._keys.update(record.key for record in page.records)
-        self._take(page.records)
+        self._on_records(page.records)
 
-    def _take_tail(self, start: int, status: int, body: bytes) -> None:
+    def _receive_tail(self, start: int, status: int, body: bytes) -> None:
         tail = self._calls.decode_tail(start, status, body)
         if isinstance(tail, Refusal):
-            self._failed(tail.reason)
+            self._on_failure(tail.reason)
             return
-        if tail.is_gone:
+        if tail.records_deleted:
             logger.info("store: records were deleted; listing all keys", topic=self._topic.value)
             self.position = None
             self.read()
             return
-        self._move(tail)
-        self._done()
+        self._apply_tail(tail)
+        self._on_done()
 
-    def _move(self, tail: Tail) -> None:
-        self._take(tail.records)
+    def _apply_tail(self, tail: Tail) -> None:
+        self._on_records(tail.records)
         self.position = max(self.position or 0, tail.end)
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/links.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/links.py
@@ -117,7 +117,7 @@
         link = self._links.get(name)
         return link is not None and bool(link.outbox)
 
-    def take_back(self, name: str) -> set[int]:
+    def drop_unsent(self, name: str) -> set[int]:
         """Drop what waits for a peer.
 
         :returns: ids of the calls that were surely not sent
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/log_service.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/log_service.py
@@ -23,25 +23,25 @@
 class LogClient:
     """Reads the log in order and appends to it.
 
-    :param begin: called with the first offset, at the start and after a gap
-    :param take: called with each offset and record
-    :param read: called when all retained records below an offset are read
+    :param on_begin: called with the first offset, at the start and after a gap
+    :param on_record: called with each offset and record
+    :param on_read: called when all retained records below an offset are read
     """
 
     def __init__(
         self,
         *,
         client: PlatformClient,
-        begin: Callable[[int], None],
-        take: Callable[[int, dict], None],
-        read: Callable[[int, int], None],
-        lost: Callable[[str], None],
+        on_begin: Callable[[int], None],
+        on_record: Callable[[int, dict], None],
+        on_read: Callable[[int, int], None],
+        on_failure: Callable[[str], None],
     ) -> None:
         self._client = client
-        self._begin = begin
-        self._take = take
-        self._read = read
-        self._lost = lost
+        self._on_begin = on_begin
+        self._on_record = on_record
+        self._on_read = on_read
+        self._on_failure = on_failure
         self._next: int | None = None
         self._is_reading = False
         self._tail: deque[LogEntry] = deque(maxlen=TAIL_RECORDS)
@@ -58,34 +58,34 @@
             return
         self._is_reading = True
         start = 0 if self._next is None else self._next
-        self._client.ask(
+        self._client.request_document(
             method="GET",
             path=f"/records?from={start}&limit={PAGE_RECORDS}",
             document=None,
-            answered=self._take_page,
-            failed=self._fail,
+            on_answer=self._receive_page,
+            on_failure=self._fail,
         )
 
     def append(self, record: dict, done: Callable[[bool], None]) -> None:
         """Append a record; ``done`` gets whether the log said that it did."""
-        self._client.ask(
+        self._client.request_document(
             method="POST",
             path="/records",
             document=record,
-            answered=lambda _: done(True),
-            failed=lambda _: done(False),
+            on_answer=lambda _: done(True),
+            on_failure=lambda _: done(False),
         )
 
-    def _take_page(self, document: object) -> None:
+    def _receive_page(self, document: object) -> None:
         self._is_reading = False
         try:
             page = check_document(document, LogPage, source="log service")
         except InvalidDocumentError as error:
-            self._lost(str(error))
+            self._on_failure(str(error))
             return
         self._read_page(page)
         if len(page.entries) < PAGE_RECORDS:
-            self._read(page.next, page.oldest)
+            self._on_read(page.next, page.oldest)
         else:
             self.poll()
 
@@ -102,27 +102,27 @@
         entries = [entry for entry in self._tail if start is None or entry.offset >= start]
         return LogPage(entries=entries, next=self._next, oldest=min(first, self._next))
 
-    def take_from_peer(self, page: LogPage) -> None:
+    def receive_from_peer(self, page: LogPage) -> None:
         """Take records that a peer read, if they follow those read here."""
         first = page.entries[0].offset if page.entries else page.next
         if self._next is not None and first != self._next:
             return
         self._read_page(page)
-        self._read(page.next, max(page.oldest, self._oldest))
+        self._on_read(page.next, max(page.oldest, self._oldest))
 
     def _read_page(self, page: LogPage) -> None:
         if self._next is None or page.oldest > self._next:
-            self._begin(page.oldest)
+            self._on_begin(page.oldest)
             self._tail.clear()
         for entry in page.entries:
-            self._take(entry.offset, entry.record)
+            self._on_record(entry.offset, entry.record)
             self._tail.append(entry)
         self._next = page.next
         self._oldest = page.oldest
 
     def _fail(self, reason: str) -> None:
         self._is_reading = False
-        self._lost(reason)
+        self._on_failure(reason)
 
 
 class VmListClient:
@@ -132,12 +132,12 @@
         self,
         *,
         client: PlatformClient,
-        take: Callable[[VmList], None],
-        lost: Callable[[str], None],
+        on_list: Callable[[VmList], None],
+        on_failure: Callable[[str], None],
     ) -> None:
         self._client = client
-        self._take = take
-        self._lost = lost
+        self._on_list = on_list
+        self._on_failure = on_failure
         self._is_reading = False
 
     def poll(self) -> None:
@@ -145,23 +145,23 @@
         if self._is_reading:
             return
         self._is_reading = True
-        self._client.ask(
+        self._client.request_document(
             method="GET",
             path="/vms",
             document=None,
-            answered=self._take_list,
-            failed=self._fail,
+            on_answer=self._receive_list,
+            on_failure=self._fail,
         )
 
-    def _take_list(self, document: object) -> None:
+    def _receive_list(self, document: object) -> None:
         self._is_reading = False
         try:
-            listed = check_document(document, VmList, source="VM list")
+            vm_list = check_document(document, VmList, source="VM list")
         except InvalidDocumentError as error:
-            self._lost(str(error))
+            self._on_failure(str(error))
             return
-        self._take(listed)
+        self._on_list(vm_list)
 
     def _fail(self, reason: str) -> None:
         self._is_reading = False
-        self._lost(reason)
+        self._on_failure(reason)
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/mesh.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/mesh.py
@@ -50,12 +50,12 @@
 # Reports that only a probe brought may wait for others.
 REPORT_FLUSH_SECONDS = 0.008
 # Other availability zones hear every eighth heartbeat; bytes between zones cost.
-REMOTE_EVERY = 8
+REMOTE_INTERVAL = 8
 # Other zones are told of reports that are not older; the next probe brings more.
-REMOTE_AGE_SECONDS = 0.1
+MAX_RELAYED_AGE_SECONDS = 0.1
 # Where there are many peers in other zones, loads are told there half as often; a zone of
 # that size seldom needs the others' backend servers.
-MOST_RELAY_SCALE = 2
+MAX_RELAY_INTERVAL_FACTOR = 2
 PERCENT = 100
 MILLISECONDS = 1000
 
@@ -81,18 +81,18 @@
         emit: Callable[[Message], None],
     ) -> None:
         self.address = address
-        self.take_news: Callable[[Datagram], None] = lambda message: None
+        self.on_message: Callable[[Datagram], None] = lambda message: None
         self._incarnation = incarnation
         self._state = state
         self._timers = timers
         self._metrics = metrics
         self._sent_bytes = metrics.control_bytes.labels(channel="mesh")
         self._emit = emit
-        self._beats = 0
-        self._relays = 0
-        self._has_told_stop = False
+        self._heartbeats = 0
+        self._relay_count = 0
+        self._has_announced_stop = False
         self._flush_at = float("inf")
-        self._lost_sends = 0
+        self._failed_sends = 0
         self._socket = self._bind(address)
         watch = Watch(read=self._read, write=_ignore, lost=_ignore)
         poller.watch(self, self._socket, watch)
@@ -117,11 +117,11 @@
         A daemon that stops tells all at once; so does one that starts, by its greeting.
         """
         includes_remote = (
-            self._beats % (REMOTE_EVERY * find_remote_interval_factor(self._state)) == 0
+            self._heartbeats % (REMOTE_INTERVAL * find_remote_interval_factor(self._state)) == 0
         )
-        if self._state.peers.leaving and not self._has_told_stop:
-            includes_remote = self._has_told_stop = True
-        self._beats += 1
+        if self._state.peers.leaving and not self._has_announced_stop:
+            includes_remote = self._has_announced_stop = True
+        self._heartbeats += 1
         zone_data = encode_datagram(self._build_heartbeat(counts=True))
         remote_data = (
             encode_datagram(self._build_heartbeat(counts=False)) if includes_remote else b""
@@ -136,14 +136,14 @@
         """Tell the loads of the own zone to the owners of each other zone."""
         now = time.monotonic()
         state = self._state
-        self._relays += 1
-        if self._relays % min(find_remote_interval_factor(state), MOST_RELAY_SCALE):
+        self._relay_count += 1
+        if self._relay_count % min(find_remote_interval_factor(state), MAX_RELAY_INTERVAL_FACTOR):
             return
         zones = {peer.zone for peer in state.peers.listed.values()} - {state.zone}
         for service, pool in state.servers.by_service.items():
             if find_owner(state, service, now) != state.name:
                 continue
-            loads = [build_remote_entry(each, now) for each in pool if _is_news(each, state, now)]
+            loads = [build_remote_entry(each, now) for each in pool if _is_recent(each, state, now)]
             if loads:
                 self._relay(service, loads, zones, now)
 
@@ -168,14 +168,14 @@
         try:
             self._socket.sendto(data, (host, int(port)))
         except OSError as error:
-            self._lost_sends += 1
+            self._failed_sends += 1
             self._metrics.datagrams_dropped.inc()
-            if self._lost_sends == 1:
+            if self._failed_sends == 1:
                 logger.warning(
                     "mesh: a datagram could not be sent", address=address, reason=str(error)
                 )
             return
-        self._lost_sends = 0
+        self._failed_sends = 0
         self._sent_bytes.inc(len(data))
 
     def send_message(self, address: str, message: Datagram) -> None:
@@ -239,9 +239,9 @@
             except OSError as error:
                 logger.warning("mesh: a datagram could not be received", reason=str(error))
                 return
-            self._take(data)
+            self._handle(data)
 
-    def _take(self, data: bytes) -> None:
+    def _handle(self, data: bytes) -> None:
         try:
             message = decode_datagram(data)
         except msgspec.MsgspecError as error:
@@ -252,12 +252,12 @@
         if isinstance(message, LoadUpdate):
             self._emit(read_load_update(message, time.monotonic()))
         elif isinstance(message, Heartbeat):
-            self._take_heartbeat(message)
+            self._handle_heartbeat(message)
         else:
-            self.take_news(message)
+            self.on_message(message)
 
-    def _take_heartbeat(self, message: Heartbeat) -> None:
-        heard = HeartbeatReceived(
+    def _handle_heartbeat(self, message: Heartbeat) -> None:
+        received = HeartbeatReceived(
             now=time.monotonic(),
             peer=message.sender,
             incarnation=message.incarnation,
@@ -267,19 +267,19 @@
             in_flight=message.in_flight,
             can_decide=message.can_decide,
         )
-        self._emit(heard)
+        self._emit(received)
         if message.wants_reply:
             self.send_message(message.address, self._build_heartbeat(counts=True))
-        self.take_news(message)
+        self.on_message(message)
 
 
 def _ignore() -> None:
     pass
 
 
-def _is_news(server: ServerState, state: DaemonState, now: float) -> bool:
+def _is_recent(server: ServerState, state: DaemonState, now: float) -> bool:
     is_own_zone = server.server.zone == state.zone
-    return is_own_zone and now - server.view.reported_at < REMOTE_AGE_SECONDS
+    return is_own_zone and now - server.view.reported_at < MAX_RELAYED_AGE_SECONDS
 
 
 def build_load_entry(server: ServerState, now: float) -> LoadEntry:
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/peering.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/peering.py
@@ -50,7 +50,7 @@
         self._links = links
         self._peers = peers
         self._clock_error = clock_error
-        self._taken: dict[tuple[str, int], int] = {}
+        self._received_calls: dict[tuple[str, int], int] = {}
         self._ticked_at = time.monotonic()
         gateway.hand_over = self.hand_over
         gateway.withdraw = self.withdraw
@@ -98,11 +98,11 @@
         """
         self._peers.note_heartbeat(message.sender, message.incarnation, time.monotonic())
         if isinstance(message, HandedCall):
-            self._take_call(message)
+            self._receive_call(message)
         elif isinstance(message, AnswerPart):
-            self._take_part(message)
+            self._receive_part(message)
         elif isinstance(message, Withdrawal):
-            self._take_withdrawal(message)
+            self._receive_withdrawal(message)
         elif isinstance(message, Ping):
             pong = Pong(sender=self._name, incarnation=self._incarnation)
             self._links.send(message.sender, pong)
@@ -121,36 +121,36 @@
                 peer.seen_at = now
                 peer.pinged_at = None
             elif peer.is_suspected:
-                self._ask_again(peer, now)
+                self._ping_again(peer, now)
             elif not peer.pending_calls:
                 peer.pinged_at = None
             elif peer.pinged_at is not None:
                 if now - peer.pinged_at > SILENT_AFTER_SECONDS:
-                    self._give_up(peer.name)
+                    self._suspect(peer.name)
             elif now - peer.seen_at > PING_AFTER_SECONDS:
-                self._ask(peer, now)
+                self._ping(peer, now)
 
-    def _ask(self, peer: Peer, now: float) -> None:
+    def _ping(self, peer: Peer, now: float) -> None:
         peer.pinged_at = now
         if not self._links.is_full(peer.name):
             ping = Ping(sender=self._name, incarnation=self._incarnation)
             self._links.send(peer.name, ping)
 
-    def _ask_again(self, peer: Peer, now: float) -> None:
+    def _ping_again(self, peer: Peer, now: float) -> None:
         if peer.pinged_at is None or now - peer.pinged_at > SILENT_AFTER_SECONDS:
-            self._ask(peer, now)
+            self._ping(peer, now)
 
-    def _give_up(self, peer_name: str) -> None:
+    def _suspect(self, peer_name: str) -> None:
         peer = self._peers.listed[peer_name]
-        unsent = self._links.take_back(peer_name)
+        unsent = self._links.drop_unsent(peer_name)
         waiting, peer.pending_calls = peer.pending_calls, set()
         self._peers.suspect(peer_name)
         for call_id in waiting:
             self._gateway.fail_peer(call_id, peer_name, sent=call_id not in unsent)
 
-    def _take_call(self, message: HandedCall) -> None:
-        late = time.time() > message.expires + self._clock_error
-        if message.target != self._name or late:
+    def _receive_call(self, message: HandedCall) -> None:
+        is_expired = time.time() > message.expires + self._clock_error
+        if message.target != self._name or is_expired:
             return
         call_id = self._gateway.allocate_id()
         host = (find_header(message.headers, b"host") or b"").decode("latin-1")
@@ -177,7 +177,7 @@
             reply=self._make_reply(message),
             arrived=time.monotonic(),
         )
-        self._taken[message.sender, message.call_id] = call_id
+        self._received_calls[message.sender, message.call_id] = call_id
         self._gateway.admit(pending)
 
     def _make_reply(self, handed: HandedCall) -> Reply:
@@ -195,7 +195,7 @@
             )
             part_number += 1
             if last:
-                self._taken.pop((handed.sender, handed.call_id), None)
+                self._received_calls.pop((handed.sender, handed.call_id), None)
             self._links.send(handed.sender, message, call_id=handed.call_id)
 
         def send_complete(answer: StoredAnswer) -> None:
@@ -236,25 +236,25 @@
             is_full=lambda: self._links.is_full(handed.sender),
         )
 
-    def _take_part(self, message: AnswerPart) -> None:
+    def _receive_part(self, message: AnswerPart) -> None:
         pending = self._gateway.pending.get(message.call_id)
         if pending is None or pending.peer != message.sender:
             return
         if message.part != pending.next_part or message.cut:
-            self._end_waiting(message)
+            self._stop_waiting(message)
             self._gateway.fail_peer(message.call_id, message.sender, sent=True)
             return
         pending.next_part += 1
         if message.last:
-            self._end_waiting(message)
+            self._stop_waiting(message)
         if message.code:
             self._gateway.finish_peer_refusal(pending, message.sender, _read_refusal(message))
         elif message.part == 0 and message.last:
-            self._gateway.finish_peer_answer(pending, message.sender, _read_whole(message))
+            self._gateway.finish_peer_answer(pending, message.sender, _read_complete(message))
         else:
-            self._pass_on(pending, message)
+            self._relay_part(pending, message)
 
-    def _pass_on(self, pending: PendingCall, message: AnswerPart) -> None:
+    def _relay_part(self, pending: PendingCall, message: AnswerPart) -> None:
         if message.part == 0:
             pending.relay_started = True
             pending.reply.begin(_read_start(message))
@@ -264,13 +264,13 @@
         if message.last:
             self._gateway.finish_peer_answer(pending, message.sender, None)
 
-    def _end_waiting(self, message: AnswerPart) -> None:
+    def _stop_waiting(self, message: AnswerPart) -> None:
         peer = self._peers.listed.get(message.sender)
         if peer is not None:
             peer.pending_calls.discard(message.call_id)
 
-    def _take_withdrawal(self, message: Withdrawal) -> None:
-        call_id = self._taken.pop((message.sender, message.call_id), None)
+    def _receive_withdrawal(self, message: Withdrawal) -> None:
+        call_id = self._received_calls.pop((message.sender, message.call_id), None)
         if call_id is not None:
             self._gateway.note_disconnect(call_id)
 
@@ -281,7 +281,7 @@
     return Refusal(code, message.reason, narrowed)
 
 
-def _read_whole(message: AnswerPart) -> StoredAnswer:
+def _read_complete(message: AnswerPart) -> StoredAnswer:
     return StoredAnswer(
         status=message.status,
         headers=message.headers,
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/platform.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/platform.py
@@ -47,34 +47,34 @@
         self._timeout = timeout
         self._channel = channel
 
-    def ask(
+    def request_document(
         self,
         *,
         method: str,
         path: str,
         document: object | None,
-        answered: Callable[[object], None],
-        failed: Callable[[str], None],
+        on_answer: Callable[[object], None],
+        on_failure: Callable[[str], None],
     ) -> None:
         """Ask, and call one of the two functions later.
 
-        :param answered: gets the decoded document
-        :param failed: gets the reason; whether a request took effect is not known then
+        :param on_answer: gets the decoded document
+        :param on_failure: gets the reason; whether a request took effect is not known then
         """
         body = b"" if document is None else json.dumps(document).encode("utf-8")
 
-        def take(status: int, received: bytes) -> None:
+        def receive(status: int, received: bytes) -> None:
             if status != HTTPStatus.OK:
-                failed(f"{self._address} answered with status {status}")
+                on_failure(f"{self._address} answered with status {status}")
                 return
             try:
                 decoded = json.loads(received)
             except ValueError:
-                failed(f"{self._address} answered with invalid JSON")
+                on_failure(f"{self._address} answered with invalid JSON")
                 return
-            answered(decoded)
+            on_answer(decoded)
 
-        self.fetch(method=method, path=path, body=body, answered=take, failed=failed)
+        self.fetch(method=method, path=path, body=body, on_answer=receive, on_failure=on_failure)
 
     def fetch(
         self,
@@ -82,15 +82,15 @@
         method: str,
         path: str,
         body: bytes,
-        answered: Callable[[int, bytes], None],
-        failed: Callable[[str], None],
-        patience: float = 0.0,
+        on_answer: Callable[[int, bytes], None],
+        on_failure: Callable[[str], None],
+        extra_timeout: float = 0.0,
     ) -> None:
         """Ask for bytes, and call one of the two functions later.
 
-        :param answered: gets the status and the body
-        :param failed: gets the reason; whether a request took effect is not known then
-        :param patience: seconds that the answer may take beyond the usual limit
+        :param on_answer: gets the status and the body
+        :param on_failure: gets the reason; whether a request took effect is not known then
+        :param extra_timeout: seconds that the answer may take beyond the usual limit
         """
         headers = [
             (b"host", self._address.encode("ascii")),
@@ -107,10 +107,12 @@
             chunked=False,
             begin=lambda head: statuses.append(head.status),
             part=received.extend,
-            completed=lambda: answered(statuses[-1], bytes(received)),
-            failed=lambda end: failed(end.refusal.reason),
+            completed=lambda: on_answer(statuses[-1], bytes(received)),
+            failed=lambda end: on_failure(end.refusal.reason),
         )
         self._metrics.control_bytes.labels(channel=self._channel).inc(len(body) + len(path) + 100)
         self._pool.run(exchange, fresh=method != "GET")
         slow = Refusal(codes.DEADLINE_EXCEEDED, f"{self._address} did not answer in time")
-        self._timers.call_after(delay=self._timeout + patience, call=lambda: exchange.fail(slow))
+        self._timers.call_after(
+            delay=self._timeout + extra_timeout, call=lambda: exchange.fail(slow)
+        )
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/prober.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/prober.py
@@ -47,7 +47,7 @@
         self._dialect = dialect
         self._pools = pools
         self._pending: list[tuple[float, Exchange, str]] = []
-        timers.subscribe(interval=SWEEP_SECONDS, call=self._end_late)
+        timers.subscribe(interval=SWEEP_SECONDS, call=self._fail_overdue)
         self._metrics = metrics
         self._emit = emit
 
@@ -59,7 +59,7 @@
         answers: list[AnswerTerms] = []
         statuses: list[int] = []
 
-        def emit(*, answered: bool) -> None:
+        def report_end(*, answered: bool) -> None:
             message = ProbeEnded(
                 now=time.monotonic(),
                 wall=sent_wall,
@@ -87,17 +87,17 @@
             chunked=False,
             begin=begin,
             part=lambda part: None,
-            completed=lambda: emit(answered=True),
-            failed=lambda end: emit(answered=False),
+            completed=lambda: report_end(answered=True),
+            failed=lambda end: report_end(answered=False),
         )
         pool = self._pools.find(server.address, limit=server.connections)
         pool.run(exchange, fresh=False)
         self._pending.append((time.monotonic() + order.timeout, exchange, server.name))
 
-    def _end_late(self) -> None:
+    def _fail_overdue(self) -> None:
         now = time.monotonic()
-        late = [each for each in self._pending if each[0] <= now]
+        overdue = [each for each in self._pending if each[0] <= now]
         self._pending = [each for each in self._pending if each[0] > now]
-        for _, exchange, name in late:
+        for _, exchange, name in overdue:
             reason = f"{name} did not answer a probe in time"
             exchange.fail(Refusal(codes.DEADLINE_EXCEEDED, reason))
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/registry_following.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/registry_following.py
@@ -33,14 +33,14 @@
 logger = structlog.get_logger("store")
 
 # News repeat what changed lately, so that a lost datagram is made good by the next.
-REPEATED_SECONDS = 3.0
+REPEAT_SECONDS = 3.0
 # Larger news would not fit in a datagram; peers read for themselves then.
-NEWS_BYTES = 48_000
+MAX_UPDATE_BYTES = 48_000
 # What an entry takes besides its name and value.
-ENTRY_BYTES = 16
+ENTRY_OVERHEAD_BYTES = 16
 MILLISECONDS = 1000
 # A daemon that knows no backend server asks its peers this often.
-ASK_SECONDS = 0.3
+REQUEST_INTERVAL_SECONDS = 0.3
 
 
 class RegistryFollower:
@@ -52,21 +52,21 @@
         self._calls = access.calls
         self._mesh = access.mesh
         self._emit = access.emit
-        self._known: dict[str, Registration | None] = {}
+        self._decoded: dict[str, Registration | None] = {}
         self._entries: dict[str, RegistryEntry] = {}
         self._has_failed = False
-        self._asked_at = float("-inf")
-        self._recent: list[tuple[float, RegistryEntry]] = []
+        self._requested_at = float("-inf")
+        self._changes: list[tuple[float, RegistryEntry]] = []
         self._positions: list[tuple[float, int]] = []
         self._dependency = Dependency(name="the registry's topic")
         self._reader = KeyedReader(
             topic=Topic.REGISTRY,
             calls=access.calls,
             client=access.client,
-            take=lambda records: self._take_records(records, "the store"),
-            listed=self._note_listing,
-            done=self._end_read,
-            failed=self._fail,
+            on_records=lambda records: self._apply_records(records, "the store"),
+            on_listed=self._note_listing,
+            on_done=self._end_read,
+            on_failure=self._fail,
         )
 
     def read(self) -> None:
@@ -76,7 +76,7 @@
     def receive(self, message: Datagram) -> None:
         """Take a peer's message."""
         if isinstance(message, RegistryUpdate):
-            self._take_news(message)
+            self._apply_update(message)
         elif isinstance(message, Heartbeat):
             self._request_registry(message)
         elif isinstance(message, RegistryRequest):
@@ -87,9 +87,9 @@
         now = time.monotonic()
         if not self._has_failed or self._state.servers.states or not heartbeat.can_decide:
             return
-        if now - self._asked_at < ASK_SECONDS:
+        if now - self._requested_at < REQUEST_INTERVAL_SECONDS:
             return
-        self._asked_at = now
+        self._requested_at = now
         logger.info("store: asking a peer for the registry", peer=heartbeat.sender)
         request = RegistryRequest(sender=self._state.name, address=self._mesh.address)
         self._mesh.send_message(heartbeat.address, request)
@@ -103,8 +103,8 @@
         size = 0
         for entry in self._entries.values():
             batch.append(entry)
-            size += _measure(entry)
-            if size > NEWS_BYTES:
+            size += _estimate_size(entry)
+            if size > MAX_UPDATE_BYTES:
                 self._send_entries(address, position, batch)
                 batch, size = [], 0
         if batch:
@@ -130,14 +130,14 @@
         self._dependency.note_failure(reason)
         self._emit(RegistryReadFailed(now=time.monotonic(), reason=reason))
 
-    def _take_records(self, records: list[StoreRecord], source: str) -> None:
+    def _apply_records(self, records: list[StoreRecord], source: str) -> None:
         now = time.monotonic()
         for record in records:
             registration, reason = self._decode(record)
             entry = RegistryEntry(name=record.key, offset=record.offset, value=record.value)
             self._keep_newest(entry)
             if self._is_change(record.key, registration):
-                self._recent.append((now, entry))
+                self._changes.append((now, entry))
             read = RegistrationRead(
                 now=now,
                 name=record.key,
@@ -161,7 +161,7 @@
             return None, "its entry was removed"
         decoded = self._calls.decode_registration(record.value)
         if isinstance(decoded, Refusal):
-            if self._known.get(record.key) is not None or record.key not in self._known:
+            if self._decoded.get(record.key) is not None or record.key not in self._decoded:
                 logger.warning(
                     "store: an entry names no backend server to use",
                     entry=record.key,
@@ -172,40 +172,40 @@
         return decoded, ""
 
     def _is_change(self, name: str, registration: Registration | None) -> bool:
-        before = self._known.get(name)
-        self._known[name] = registration
-        if registration is None or before is None:
+        previous = self._decoded.get(name)
+        self._decoded[name] = registration
+        if registration is None or previous is None:
             return True
         return (
-            before.is_draining != registration.is_draining
-            or before.born != registration.born
-            or before.address != registration.address
-            or before.service != registration.service
+            previous.is_draining != registration.is_draining
+            or previous.born != registration.born
+            or previous.address != registration.address
+            or previous.service != registration.service
         )
 
     def _announce_changes(self, now: float) -> None:
         position = self._reader.position
         if position is None:
             return
-        self._recent = [each for each in self._recent if now - each[0] < REPEATED_SECONDS]
-        self._positions = [each for each in self._positions if now - each[0] < REPEATED_SECONDS]
+        self._changes = [each for each in self._changes if now - each[0] < REPEAT_SECONDS]
+        self._positions = [each for each in self._positions if now - each[0] < REPEAT_SECONDS]
         start = self._positions[0][1] if self._positions else position
         self._positions.append((now, position))
-        entries = [entry for _, entry in self._recent]
-        if sum(_measure(each) for each in entries) > NEWS_BYTES:
+        entries = [entry for _, entry in self._changes]
+        if sum(_estimate_size(each) for each in entries) > MAX_UPDATE_BYTES:
             start, entries = position, []
-        returned = now - self._registry.recovered_at
+        since_return = now - self._registry.recovered_at
         update = RegistryUpdate(
             sender=self._state.name,
             start=start,
             end=position,
-            returned_ms=int(returned * MILLISECONDS) if returned < REPEATED_SECONDS else -1,
+            returned_ms=int(since_return * MILLISECONDS) if since_return < REPEAT_SECONDS else -1,
             entries=entries,
         )
         for address in self._mesh.list_zone_peers():
             self._mesh.send_message(address, update)
 
-    def _take_news(self, update: RegistryUpdate) -> None:
+    def _apply_update(self, update: RegistryUpdate) -> None:
         records = [
             StoreRecord(key=each.name, offset=each.offset, value=each.value)
             for each in update.entries
@@ -219,9 +219,9 @@
         if position is not None and position >= update.start:
             self._emit(RegistryUpdateReceived(now=now, recovered_at=recovered_at))
             self._reader.position = max(position, update.end)
-        self._take_records(records, update.sender)
+        self._apply_records(records, update.sender)
 
 
-def _measure(entry: RegistryEntry) -> int:
+def _estimate_size(entry: RegistryEntry) -> int:
     """Measure about how many bytes of a datagram an entry takes."""
-    return len(entry.value or b"") + len(entry.name) + ENTRY_BYTES
+    return len(entry.value or b"") + len(entry.name) + ENTRY_OVERHEAD_BYTES
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/slot_exchange.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/slot_exchange.py
@@ -100,14 +100,14 @@
         )
 
     def _deny(self, order: slots.DenySlot) -> None:
-        refusal = SlotDenialDatagram(
+        datagram = SlotDenialDatagram(
             sender=self._state.name,
             call_id=order.call_id,
             code=order.refusal.code.number,
             reason=order.refusal.reason,
             retry_after=order.refusal.retry_after,
         )
-        self._send(order.requester, refusal)
+        self._send(order.requester, datagram)
 
     def _withdraw(self, order: slots.WithdrawSlot) -> None:
         self._send(
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/store.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/store.py
@@ -60,12 +60,12 @@
     """Records from an offset on.
 
     :param end: offset up to which ``records`` reach
-    :param is_gone: whether records from the asked offset on were deleted
+    :param records_deleted: whether records from the asked offset on were deleted
     """
 
     records: list[StoreRecord]
     end: int
-    is_gone: bool = False
+    records_deleted: bool = False
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/store_assembly.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/store_assembly.py
@@ -252,6 +252,6 @@
         control.configuration.receive(message)
         control.registry.receive(message)
 
-    mesh.take_news = take_news
+    mesh.on_message = take_news
     base.gateway.after_run = mesh.note_changes
     return control
--- a/packages/dotterelgate-operator/src/dotterelgate_operator/command.py
+++ b/packages/dotterelgate-operator/src/dotterelgate_operator/command.py
@@ -26,7 +26,7 @@
 EXIT_USAGE = 2
 EXIT_LOST_RACE = 3
 EXIT_UNSETTLED = 4
-ASK_SECONDS = 2.0
+REQUEST_SECONDS = 2.0
 POLL_SECONDS = 0.1
 
 _command = typer.Typer(
@@ -82,12 +82,12 @@
     if wait and not daemon:
         _fail(["--wait: needs at least one --daemon; name the daemons to wait for"])
     started = time.monotonic()
-    publisher = Publisher(log=log, daemons=daemon, tell=_tell)
+    publisher = Publisher(log=log, daemons=daemon, tell=_print_error)
     published = publisher.publish(model, operator=getpass.getuser(), wait=timeout, parent=parent)
     if published.verdict is Verdict.ACCEPTED:
         typer.echo(f"revision {published.revision} is accepted, id {published.id}")
     else:
-        _tell(f"{published.verdict.value}: {published.reason}")
+        _print_error(f"{published.verdict.value}: {published.reason}")
         lost = published.verdict is Verdict.LOST_RACE
         sys.exit(EXIT_LOST_RACE if lost else EXIT_UNSETTLED)
     if wait:
@@ -100,7 +100,7 @@
     failed = False
     typer.echo(f"{'daemon':<22}{'revision':>9}{'in flight':>10}{'held':>6}  state / draining")
     for address in daemon:
-        document = _ask(address, "/status")
+        document = _fetch(address, "/status")
         if document is None:
             typer.echo(f"{address:<22}cannot be asked")
             failed = True
@@ -118,9 +118,9 @@
 ) -> None:
     """Explain where a request would go from one daemon, and why."""
     query = httpx.QueryParams(method=method, host=host, path=path)
-    document = _ask(daemon, f"/explain?{query}")
+    document = _fetch(daemon, f"/explain?{query}")
     if document is None:
-        _tell(f"{daemon}: cannot be asked; check that the daemon runs")
+        _print_error(f"{daemon}: cannot be asked; check that the daemon runs")
         sys.exit(EXIT_FAILED)
     typer.echo(json.dumps(document, indent=2))
 
@@ -143,9 +143,9 @@
         raise
 
 
-def _ask(address: str, path: str) -> dict | None:
+def _fetch(address: str, path: str) -> dict | None:
     try:
-        answer = httpx.get(f"http://{address}{path}", timeout=ASK_SECONDS, trust_env=False)
+        answer = httpx.get(f"http://{address}{path}", timeout=REQUEST_SECONDS, trust_env=False)
         return answer.json()
     except (httpx.HTTPError, ValueError):
         return None
@@ -161,30 +161,32 @@
 
 
 def _wait_for(revision: int, daemons: list[str], deadline: float) -> None:
-    waiting = set(daemons)
-    told_at = time.monotonic()
-    while waiting and time.monotonic() < deadline:
-        for address in sorted(waiting):
-            document = _ask(address, "/status")
+    pending = set(daemons)
+    printed_at = time.monotonic()
+    while pending and time.monotonic() < deadline:
+        for address in sorted(pending):
+            document = _fetch(address, "/status")
             if document is not None and document["revision"] >= revision:
-                waiting.discard(address)
-        if waiting and time.monotonic() - told_at > 1.0:
-            told_at = time.monotonic()
-            _tell(f"waiting for {', '.join(sorted(waiting))}")
-        time.sleep(POLL_SECONDS if waiting else 0.0)
-    if waiting:
-        _tell(f"revision {revision} is accepted but not yet seen on {', '.join(sorted(waiting))}")
+                pending.discard(address)
+        if pending and time.monotonic() - printed_at > 1.0:
+            printed_at = time.monotonic()
+            _print_error(f"waiting for {', '.join(sorted(pending))}")
+        time.sleep(POLL_SECONDS if pending else 0.0)
+    if pending:
+        _print_error(
+            f"revision {revision} is accepted but not yet seen on {', '.join(sorted(pending))}"
+        )
         sys.exit(EXIT_UNSETTLED)
     typer.echo(f"revision {revision} is in force on {len(daemons)} daemons")
 
 
-def _tell(line: str) -> None:
+def _print_error(line: str) -> None:
     typer.echo(line, err=True)
 
 
 def _fail(problems: list[str]) -> None:
     for problem in problems:
-        _tell(problem)
+        _print_error(problem)
     sys.exit(EXIT_USAGE)
 
 
--- a/packages/dotterelgate-operator/src/dotterelgate_operator/publishing.py
+++ b/packages/dotterelgate-operator/src/dotterelgate_operator/publishing.py
@@ -30,7 +30,7 @@
 __all__ = ["Published", "Publisher", "Verdict"]
 
 PAGE_RECORDS = 500
-PAUSE_SECONDS = 0.2
+RETRY_INTERVAL_SECONDS = 0.2
 REQUEST_SECONDS = 2.0
 
 
@@ -111,16 +111,16 @@
             self._append(record)
             # A lost answer is settled by reading; the same id never counts twice.
             if self._retry(self._read_all, deadline):
-                published = self._judge(record)
+                published = self._find_verdict(record)
                 if published is not None:
                     return published
             if time.monotonic() >= deadline:
                 reason = "the log did not answer in time; publish again to settle it"
                 return Published(verdict=Verdict.UNSETTLED, id=record.id, reason=reason)
             self._tell("the record is not on the log yet; appending it again")
-            time.sleep(PAUSE_SECONDS)
+            time.sleep(RETRY_INTERVAL_SECONDS)
 
-    def _judge(self, record: Publication) -> Published | None:
+    def _find_verdict(self, record: Publication) -> Published | None:
         current = self._state.chain.current
         if record.id in self._accepted_ids:
             return Published(verdict=Verdict.ACCEPTED, id=record.id, revision=record.revision)
@@ -145,7 +145,7 @@
                 if time.monotonic() >= deadline:
                     return False
                 self._tell(f"the log cannot be read ({error}); trying again")
-                time.sleep(PAUSE_SECONDS)
+                time.sleep(RETRY_INTERVAL_SECONDS)
                 continue
             return True
 
@@ -161,13 +161,13 @@
                 self._state.chain.begin(start=page.oldest)
                 self._accepted_ids = set()
             for entry in page.entries:
-                self._take(entry.offset, entry.record)
+                self._apply_record(entry.offset, entry.record)
             self._next = page.next
             self._oldest = page.oldest
             if len(page.entries) < PAGE_RECORDS:
                 return
 
-    def _take(self, offset: int, document: dict) -> None:
+    def _apply_record(self, offset: int, document: dict) -> None:
         try:
             record = record_adapter.validate_python(document)
         except ValueError:
@@ -185,19 +185,19 @@
             return None, 0
         if chain.known and chain.current is not None and chain.current.body is not None:
             return chain.current.id, chain.current.body.revision
-        return self._ask_daemons()
+        return self._query_daemons()
 
-    def _ask_daemons(self) -> tuple[str, int] | None:
-        best: tuple[str, int] | None = None
+    def _query_daemons(self) -> tuple[str, int] | None:
+        newest: tuple[str, int] | None = None
         for daemon in self._daemons:
             try:
                 status = self._client.get(f"http://{daemon}/status").json()
             except (httpx.HTTPError, ValueError):
                 self._tell(f"daemon {daemon} cannot be asked")
                 continue
-            if status["configuration"] and (best is None or status["revision"] > best[1]):
-                best = (status["configuration"], status["revision"])
-        return best
+            if status["configuration"] and (newest is None or status["revision"] > newest[1]):
+                newest = (status["configuration"], status["revision"])
+        return newest
 
 
 def _make_link(offset: int, record: Publication | Confirmation, previous: str | None) -> Link:
