--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/configuration_following.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/configuration_following.py
@@ -1,4 +1,4 @@
-"""Keeps the configuration in force, from the keyed store and from peers."""
+"""Follows the configuration in the keyed store and from peers."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 
 logger = structlog.get_logger("store")
 
-# The store holds a read back until something is written, at most so long. A lost
-# answer is noticed after this and the client's own limit.
+# The store answers a read once a record is written, or after this time. A lost answer
+# is noticed after this time plus the client's own timeout.
 LONG_POLL_SECONDS = 5.0
 # A datagram holds at most 65,507 bytes; parts stay well below.
 PART_BYTES = 32_000
@@ -32,7 +32,7 @@
 
 
 class ConfigurationFollower:
-    """Keeps the configuration in force, from the store and from peers."""
+    """Reads the configuration and exchanges it with peers."""
 
     def __init__(self, *, access: StoreAccess) -> None:
         self._state = access.state
@@ -58,7 +58,7 @@
         self._reader.read(wait=LONG_POLL_SECONDS)
 
     def receive(self, message: Datagram) -> None:
-        """Take a peer's message."""
+        """Handle a peer's message."""
         if isinstance(message, Heartbeat):
             self._request_if_newer(message)
         elif isinstance(message, ConfigurationRequest):
@@ -130,6 +130,6 @@
         try:
             document = zlib.decompress(b"".join(parts[number] for number in range(message.parts)))
         except (zlib.error, KeyError) as error:
-            logger.warning("store: a peer's configuration is broken", reason=repr(error))
+            logger.warning("store: a peer's configuration is corrupt", reason=repr(error))
             return
         self._apply_document(document, message.sender)
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/directory.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/directory.py
@@ -18,9 +18,9 @@
 
 
 class DaemonDirectory:
-    """Finds the other daemons by entries that each writes at its start.
+    """Finds the other daemons by the entries that they write when they start.
 
-    :param own: this daemon's name, and where it takes datagrams
+    :param own: this daemon's name and the address on which it receives datagrams
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         )
 
     def start(self) -> None:
-        """Write this daemon's entry, then greet all others."""
+        """Write this daemon's entry, then send first heartbeats to all others."""
         name, address = self._own
         request = self._calls.append(Topic.DAEMONS, name, address.encode("ascii"))
         self._client.fetch(
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/explanation.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/explanation.py
@@ -1,4 +1,4 @@
-"""What a daemon says of itself and of where requests go."""
+"""Documents on a daemon's state and on where it would send a request."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def describe_front(state: DaemonState, incarnation: str) -> dict:
-    """Describe what every daemon has, whatever tells it what is in force."""
+    """Describe the state that every daemon has, with a log or a keyed store."""
     now = time.monotonic()
     current = state.configuration.current
     return {
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/following.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/following.py
@@ -1,4 +1,4 @@
-"""Between the control pipeline and the log, the VM list and the peers."""
+"""Connects the control pipeline with the log, the VM list and the peers."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
     """Feeds the control pipeline and carries out its orders.
 
     :param decide: the control pipeline
-    :param choose: chooses the peer to ask
+    :param choose: chooses the peer to request records from
     :param free: called when a service may have room for waiting requests
     """
 
@@ -104,21 +104,21 @@
         self.request_configuration()
 
     def receive_record(self, offset: int, document: dict) -> None:
-        """Take one record of the log; others than the project's are passed over."""
+        """Handle one record of the log; records that match no model are skipped."""
         try:
             record = record_adapter.validate_python(document)
         except ValidationError:
-            logger.debug("following: a record is not the project's", offset=offset)
+            logger.debug("following: a record that matches no model is skipped", offset=offset)
             return
         for message in self._read_record(offset, record):
             self.run(message)
 
     def receive_position(self, read_to: int, oldest: int) -> None:
-        """Note that every retained record below an offset is read."""
+        """Note that every retained record below an offset was read."""
         self.run(control.LogRead(now=time.monotonic(), read_to=read_to, oldest=oldest))
 
     def receive_vms(self, vm_list: VmList) -> None:
-        """Take the platform's list of VMs."""
+        """Handle the platform's list of VMs."""
         vms = tuple(
             control.Vm(
                 name=vm.name,
@@ -132,14 +132,14 @@
         self.run(control.VmsRead(now=time.monotonic(), vms=vms))
         for peer in self._state.peers.listed.values():
             if self._links.connect_peer(peer.name, peer.address):
-                # The first message tells the peer which run of this daemon it meets.
+                # The first message carries this daemon's incarnation to the peer.
                 self._links.send(peer.name, Ping(**self._identity))
         for name in self._state.peers.removed:
             self._links.disconnect_peer(name)
         self.request_configuration()
 
     def request_configuration(self) -> None:
-        """Ask peers for the configuration while the log does not tell it."""
+        """Request the configuration from peers while the log does not show it."""
         configuration = self._state.configuration
         if configuration.current is not None and configuration.chain.known:
             return
@@ -148,14 +148,14 @@
             self._links.send(name, request)
 
     def request_records(self) -> None:
-        """Ask one peer for records, because the log cannot be read."""
+        """Request records from one peer, because the log cannot be read."""
         usable = [each for each in self._state.peers.select_usable() if each != self._state.name]
         if usable and self.log is not None:
             request = RecordsAsked(**self._identity, start=self.log.next)
             self._links.send(self._choose(usable), request)
 
     def receive(self, message: PeerMessage) -> bool:
-        """Take a peer's message that is about control.
+        """Handle a peer's message if it is about control.
 
         :returns: whether it was one
         """
@@ -172,12 +172,12 @@
         return True
 
     def tick(self) -> None:
-        """Let leases and confirmations become due."""
+        """Run the pipeline's periodic checks, such as of leases and confirmations."""
         wall = time.time()
         self.run(control.ControlTicked(now=time.monotonic(), wall=wall))
 
     def announce_leaving(self, order: control.AnnounceLeaving) -> None:
-        """Share a sign that a backend server is leaving, by peers and by the log."""
+        """Send a sign that a backend server is leaving to the peers and the log."""
         received = control.LeavingReceived(
             now=time.monotonic(),
             server=order.server,
@@ -200,7 +200,7 @@
         self._append(sign.model_dump())
 
     def announce_stopping(self) -> None:
-        """Tell the peers that this daemon takes no new work."""
+        """Notify the peers that this daemon accepts no new work."""
         notice = LeavingNotice(**self._identity)
         for name in self._state.peers.listed:
             self._links.send(name, notice)
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/key_transfer.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/key_transfer.py
@@ -1,4 +1,4 @@
-"""Keys of a range on their way between daemons."""
+"""Transfers the keys of a range between daemons."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class KeyTransfer:
-    """Sends a range's keys to its next holder, and takes those of others.
+    """Sends a range's keys to its next holder and receives those of others.
 
     :param emit: runs a message through the control pipeline
     """
@@ -88,7 +88,7 @@
         self._links.send(order.successor, message)
 
     def receive(self, message: PeerMessage) -> bool:
-        """Take a peer's message that is about keys.
+        """Handle a peer's message if it is about keys.
 
         :returns: whether it was one
         """
@@ -140,7 +140,7 @@
         self._links.send(message.sender, reply)
 
     def _is_open(self, resource: str) -> bool:
-        # Keys that come after the range was opened without them are too late.
+        # Keys that arrive after the range was opened without them are too late.
         tenure = self._state.leases.leases[resource].tenure
         key_range = self._state.keys.ranges.get(resource)
         return tenure is not None and key_range is not None and key_range.tenure == tenure.id
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/keyed_reading.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/keyed_reading.py
@@ -1,4 +1,4 @@
-"""Reads one topic of a keyed store: all keys first, then what is written after."""
+"""Reads one topic of a keyed store: all keys first, then the records written after."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 logger = structlog.get_logger("store")
 
 FIRST_BACKOFF_SECONDS = 0.5
-# A store that does not answer is asked no more often; refused calls cost as well.
+# A failing store is called no more often than this; failed calls load it as well.
 LONGEST_BACKOFF_SECONDS = 2.0
 
 
@@ -33,9 +33,9 @@
 class StoreAccess:
     """What a follower of a topic needs besides its own state.
 
-    :param calls: how the store is asked
+    :param calls: encodes and decodes calls to the store
     :param client: sends the calls
-    :param mesh: reaches the peers
+    :param mesh: sends datagrams to the peers
     :param emit: runs a message through the control pipeline
     """
 
@@ -47,7 +47,7 @@
 
 
 class Dependency:
-    """Whether a part of the platform answers; tells the log when that changes."""
+    """Tracks whether a part of the platform answers, and logs changes."""
 
     def __init__(self, *, name: str) -> None:
         self._name = name
@@ -64,7 +64,7 @@
     def note_failure(self, reason: str) -> float:
         """Note that it did not answer.
 
-        :returns: seconds after which to ask again
+        :returns: seconds to wait before the next try
         """
         if not self._failures:
             self._since = time.monotonic()
@@ -76,12 +76,12 @@
 
 
 class KeyedReader:
-    """Reads one topic: all keys first, then what is written after.
+    """Reads one topic: all keys first, then the records written after.
 
     :param on_records: called with records, in order
-    :param on_listed: called with the keys and the end after all keys were read
-    :param on_done: called when a read is over
-    :param on_failure: called with the reason when one failed
+    :param on_listed: called with all keys and the end offset of the listing
+    :param on_done: called when a read succeeded
+    :param on_failure: called with the reason when a read failed
     """
 
     def __init__(
@@ -107,9 +107,9 @@
         self._listing_end = 0
 
     def read(self, *, wait: float = 0.0) -> None:
-        """Read what is new; at first, all that there is.
+        """Read the new records; list all keys the first time.
 
-        :param wait: seconds that the store may hold the answer back
+        :param wait: seconds that the store may wait for a new record
         """
         if self.position is None:
             self._keys = set()
@@ -147,8 +147,7 @@
         if not page.is_last and page.records:
             self._list(page.records[-1].key)
             return
-        # A later page may show newer records; the tail from the first page's end
-        # repeats them.
+        # Later pages may hold newer records; the tail from the first page's end repeats them.
         self.position = self._listing_end
         self._on_listed(frozenset(self._keys), self._listing_end)
         self._on_done()
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/links.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/links.py
@@ -33,9 +33,9 @@
 
 @dataclass(kw_only=True)
 class _Link:
-    """The way to one peer.
+    """The connection to one peer.
 
-    :param outbox: messages that the library does not take yet
+    :param outbox: messages that the library does not accept yet
     """
 
     address: str
@@ -44,7 +44,7 @@
 
 
 class LinkService(BaseComponent):
-    """Sends to and hears all other daemons.
+    """Sends messages to all other daemons and receives theirs.
 
     :param receive: called with each valid message
     """
@@ -69,9 +69,9 @@
         poller.addReader(self, self._inbox.recv_fd)
 
     def connect_peer(self, name: str, address: str) -> bool:
-        """Connect to a peer, or again if its address changed.
+        """Connect to a peer, or reconnect if its address changed.
 
-        :returns: whether a connection was begun
+        :returns: whether a connection was started
         """
         link = self._links.get(name)
         if link is not None and link.address == address:
@@ -88,16 +88,16 @@
         return True
 
     def disconnect_peer(self, name: str) -> None:
-        """Close the link to a peer that is gone."""
+        """Close the link to a removed peer."""
         link = self._links.pop(name, None)
         if link is not None:
             link.socket.close()
 
     def send(self, name: str, message: PeerMessage, *, call_id: int | None = None) -> bool:
-        """Send a message, or keep it until the link takes it.
+        """Send a message, or queue it until the link accepts it.
 
-        :param call_id: call that can be taken back while the message is kept
-        :returns: whether the peer is known and the outbox has room
+        :param call_id: call that :meth:`drop_unsent` returns while the message is queued
+        :returns: whether the message was sent or queued
         """
         link = self._links.get(name)
         if link is None:
@@ -113,14 +113,14 @@
         return True
 
     def is_full(self, name: str) -> bool:
-        """Tell whether messages for a peer wait here."""
+        """Return whether messages for a peer are queued."""
         link = self._links.get(name)
         return link is not None and bool(link.outbox)
 
     def drop_unsent(self, name: str) -> set[int]:
-        """Drop what waits for a peer.
+        """Drop the messages queued for a peer.
 
-        :returns: ids of the calls that were surely not sent
+        :returns: ids of the calls that were certainly not sent
         """
         link = self._links.get(name)
         if link is None:
@@ -130,7 +130,7 @@
         return unsent
 
     def flush(self) -> None:
-        """Send what waits, as far as the links take it."""
+        """Send the queued messages, as far as the links accept them."""
         for link in self._links.values():
             while link.outbox and self._try_send(link, link.outbox[0][1]):
                 link.outbox.popleft()
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/log_service.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/log_service.py
@@ -1,4 +1,4 @@
-"""The platform's log service and VM list."""
+"""Clients of the platform's log service and VM list."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
     :param on_begin: called with the first offset, at the start and after a gap
     :param on_record: called with each offset and record
-    :param on_read: called when all retained records below an offset are read
+    :param on_read: called after a read with the first unread offset and the oldest retained one
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         return self._next
 
     def poll(self) -> None:
-        """Read what is new, unless a read is on its way."""
+        """Read the new records, unless a read is in progress."""
         if self._is_reading:
             return
         self._is_reading = True
@@ -67,7 +67,7 @@
         )
 
     def append(self, record: dict, done: Callable[[bool], None]) -> None:
-        """Append a record; ``done`` gets whether the log said that it did."""
+        """Append a record; ``done`` gets whether the log confirmed it."""
         self._client.request_document(
             method="POST",
             path="/records",
@@ -103,7 +103,7 @@
         return LogPage(entries=entries, next=self._next, oldest=min(first, self._next))
 
     def receive_from_peer(self, page: LogPage) -> None:
-        """Take records that a peer read, if they follow those read here."""
+        """Apply records that a peer read, if they follow those read here."""
         first = page.entries[0].offset if page.entries else page.next
         if self._next is not None and first != self._next:
             return
@@ -141,7 +141,7 @@
         self._is_reading = False
 
     def poll(self) -> None:
-        """Read the list, unless a read is on its way."""
+        """Read the list, unless a read is in progress."""
         if self._is_reading:
             return
         self._is_reading = True
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/mesh.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/mesh.py
@@ -1,4 +1,4 @@
-"""Datagrams between the daemons that share their view of the load."""
+"""Exchanges datagrams between the daemons that share their view of the load."""
 
 from __future__ import annotations
 
@@ -45,25 +45,25 @@
 
 RECEIVE_BYTES = 65_535
 READS_PER_EVENT = 128
-# Counts of requests go out at once, those of one pass of the loop together.
+# Changed request counts are sent at once; those of one pass of the loop share datagrams.
 FLUSH_SECONDS = 0.001
-# Reports that only a probe brought may wait for others.
+# Reports that only a probe brought may wait, so that several share a datagram.
 REPORT_FLUSH_SECONDS = 0.008
-# Other availability zones hear every eighth heartbeat; bytes between zones cost.
+# In heartbeats: other zones get every eighth one, because traffic between zones is costly.
 REMOTE_INTERVAL = 8
-# Other zones are told of reports that are not older; the next probe brings more.
+# Only newer reports are relayed to other zones; probes keep bringing new ones.
 MAX_RELAYED_AGE_SECONDS = 0.1
-# Where there are many peers in other zones, loads are told there half as often; a zone of
-# that size seldom needs the others' backend servers.
+# With many peers in other zones, loads are relayed to them half as often; a zone of that
+# size seldom needs backend servers of other zones.
 MAX_RELAY_INTERVAL_FACTOR = 2
 PERCENT = 100
 MILLISECONDS = 1000
 
 
 class Mesh:
-    """Sends to and hears the other daemons; a lost datagram only costs freshness.
+    """Sends datagrams to the other daemons and receives theirs; a lost one only delays data.
 
-    :param address: where this daemon takes datagrams
+    :param address: address on which this daemon receives datagrams
     :param emit: runs a message through the control pipeline
     """
 
@@ -98,7 +98,7 @@
         poller.watch(self, self._socket, watch)
 
     def note_changes(self) -> None:
-        """Tell changed loads soon."""
+        """Schedule sending the changed loads."""
         servers = self._state.servers
         now = time.monotonic()
         if servers.changed:
@@ -112,9 +112,9 @@
             self._timers.call_after(delay=due - now, call=self._flush)
 
     def send_heartbeats(self) -> None:
-        """Send a heartbeat to the own zone, and now and then to the others.
+        """Send a heartbeat to the own zone, and less often to the others.
 
-        A daemon that stops tells all at once; so does one that starts, by its greeting.
+        A daemon that stops notifies all at once; one that starts sends first heartbeats.
         """
         includes_remote = (
             self._heartbeats % (REMOTE_INTERVAL * find_remote_interval_factor(self._state)) == 0
@@ -133,7 +133,7 @@
                 self.send(peer.address, remote_data)
 
     def relay(self) -> None:
-        """Tell the loads of the own zone to the owners of each other zone."""
+        """Send the loads of the own zone to the owners of each other zone."""
         now = time.monotonic()
         state = self._state
         self._relay_count += 1
@@ -158,12 +158,12 @@
                 self.send(state.peers.listed[name].address, data)
 
     def send_first_heartbeat(self, address: str) -> None:
-        """Ask the daemon at an address for a heartbeat."""
+        """Send a heartbeat that requests one in reply."""
         message = self._build_heartbeat(counts=False, wants_reply=True)
         self.send(address, encode_datagram(message))
 
     def send(self, address: str, data: bytes) -> None:
-        """Send bytes; what the kernel does not take is dropped and counted."""
+        """Send bytes; what the kernel does not accept is dropped and counted."""
         host, port = address.rsplit(":", 1)
         try:
             self._socket.sendto(data, (host, int(port)))
@@ -183,7 +183,7 @@
         self.send(address, encode_datagram(message))
 
     def list_zone_peers(self) -> list[str]:
-        """List the addresses of the daemons of the own zone that are heard."""
+        """List the addresses of the own zone's daemons that send heartbeats."""
         names = select_zone_peers(self._state, time.monotonic())
         return [self._state.peers.listed[name].address for name in names]
 
@@ -283,7 +283,7 @@
 
 
 def build_load_entry(server: ServerState, now: float) -> LoadEntry:
-    """Build what peers are told of a backend server, and note that it is told."""
+    """Build a backend server's entry for peers, and mark its new data as sent."""
     view = server.view
     report = view.report if view.has_unsent_report else None
     entry = LoadEntry(
@@ -304,7 +304,7 @@
 
 
 def build_remote_entry(server: ServerState, now: float) -> LoadEntry:
-    """Build what another zone is told of a backend server: all that is at it."""
+    """Build a backend server's entry for another zone, with its total load."""
     report = server.view.report
     return LoadEntry(
         server=server.server.name,
@@ -317,7 +317,7 @@
 
 
 def read_load_update(message: LoadUpdate, now: float) -> LoadsReceived:
-    """Read a peer's news into the message of the decisions."""
+    """Convert a peer's update to a message of the control pipeline."""
     loads = tuple(_read_load(entry) for entry in message.loads)
     return LoadsReceived(
         now=now, peer=message.sender, loads=loads, is_remote_zone=message.is_remote_zone
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/peering.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/peering.py
@@ -1,4 +1,4 @@
-"""Calls handed to peers and taken from them."""
+"""Calls forwarded to peers and received from them."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Peering:
-    """Hands calls over, hands answers back, and notices silent peers.
+    """Forwards calls to peers, sends answers back and detects silent peers.
 
     :param clock_error: seconds by which wall clocks of two VMs may differ
     """
@@ -56,7 +56,7 @@
         gateway.withdraw = self.withdraw
 
     def hand_over(self, order: Forward, pending: PendingCall) -> None:
-        """Hand a call to a peer."""
+        """Send a call to a peer."""
         call = pending.call
         message = HandedCall(
             sender=self._name,
@@ -84,7 +84,7 @@
             peer.seen_at = time.monotonic()
 
     def withdraw(self, call_id: int, peer_name: str) -> None:
-        """Tell a peer that nobody waits for a call any more."""
+        """Notify a peer that nobody waits for a call any more."""
         peer = self._peers.listed.get(peer_name)
         if peer is not None:
             peer.pending_calls.discard(call_id)
@@ -92,7 +92,7 @@
         self._links.send(peer_name, message, call_id=call_id)
 
     def receive(self, message: PeerMessage) -> bool:
-        """Take a message that is about calls.
+        """Handle a message if it is about calls.
 
         :returns: whether it was one
         """
@@ -111,13 +111,13 @@
         return True
 
     def tick(self) -> None:
-        """Ask silent peers whether they work, and give up on those that do not."""
+        """Ping silent peers, and fail the calls at those that do not answer."""
         now = time.monotonic()
         gap, self._ticked_at = now - self._ticked_at, now
         self._links.flush()
         for peer in list(self._peers.listed.values()):
             if gap > TICK_GAP_SECONDS and not peer.is_suspected:
-                # This process was paused, so the silence is its own.
+                # This process was paused; the peer may have sent messages meanwhile.
                 peer.seen_at = now
                 peer.pinged_at = None
             elif peer.is_suspected:
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/platform.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/platform.py
@@ -1,4 +1,4 @@
-"""A service of the platform, spoken to over HTTP."""
+"""HTTP client for a service of the platform."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
 
 class PlatformClient:
-    """Asks one service of the platform for JSON documents.
+    """Sends requests to one service of the platform.
 
-    :param timeout: seconds until an answer is given up
+    :param timeout: seconds to wait for an answer
     :param channel: label of the bytes in the metrics
     """
 
@@ -56,10 +56,10 @@
         on_answer: Callable[[object], None],
         on_failure: Callable[[str], None],
     ) -> None:
-        """Ask, and call one of the two functions later.
+        """Request a JSON document, and call one of the two functions later.
 
         :param on_answer: gets the decoded document
-        :param on_failure: gets the reason; whether a request took effect is not known then
+        :param on_failure: gets the reason; the request may still have taken effect
         """
         body = b"" if document is None else json.dumps(document).encode("utf-8")
 
@@ -86,10 +86,10 @@
         on_failure: Callable[[str], None],
         extra_timeout: float = 0.0,
     ) -> None:
-        """Ask for bytes, and call one of the two functions later.
+        """Request bytes, and call one of the two functions later.
 
         :param on_answer: gets the status and the body
-        :param on_failure: gets the reason; whether a request took effect is not known then
+        :param on_failure: gets the reason; the request may still have taken effect
         :param extra_timeout: seconds that the answer may take beyond the usual limit
         """
         headers = [
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/prober.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/prober.py
@@ -1,4 +1,4 @@
-"""Probes of backend servers on their way."""
+"""Sends probes to backend servers."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 __all__ = ["Prober"]
 
-# Probes that are not answered are looked for this often.
+# Interval at which overdue probes are failed.
 SWEEP_SECONDS = 0.1
 
 
 class Prober:
-    """Carries out probes.
+    """Sends probes and reports their results.
 
     :param dialect: how the system's own headers are read and written
     :param emit: runs a message through the control pipeline
@@ -52,7 +52,7 @@
         self._emit = emit
 
     def probe(self, order: Probe) -> None:
-        """Send a probe and tell what became of it."""
+        """Send a probe and emit its result."""
         sent_wall = time.time()
         server = order.server
         self._metrics.measuring_seconds.labels(service=order.service).inc(order.cost)
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/registry_following.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/registry_following.py
@@ -1,4 +1,4 @@
-"""Keeps the entries of backend servers, from the keyed store and from peers."""
+"""Follows the entries of backend servers in the keyed store and from peers."""
 
 from __future__ import annotations
 
@@ -32,19 +32,19 @@
 
 logger = structlog.get_logger("store")
 
-# News repeat what changed lately, so that a lost datagram is made good by the next.
+# Updates repeat the changes of this period, so the next one replaces a lost datagram.
 REPEAT_SECONDS = 3.0
-# Larger news would not fit in a datagram; peers read for themselves then.
+# A larger update would not fit in a datagram; peers then read the store themselves.
 MAX_UPDATE_BYTES = 48_000
-# What an entry takes besides its name and value.
+# Encoding overhead of an entry besides its name and value.
 ENTRY_OVERHEAD_BYTES = 16
 MILLISECONDS = 1000
-# A daemon that knows no backend server asks its peers this often.
+# Shortest interval between requests to peers while no backend server is known.
 REQUEST_INTERVAL_SECONDS = 0.3
 
 
 class RegistryFollower:
-    """Keeps the entries of backend servers, from the store and from peers."""
+    """Reads the entries of backend servers and exchanges them with peers."""
 
     def __init__(self, *, access: StoreAccess, registry: RegistryState) -> None:
         self._state = access.state
@@ -70,11 +70,11 @@
         )
 
     def read(self) -> None:
-        """Read what is new."""
+        """Read the new records."""
         self._reader.read()
 
     def receive(self, message: Datagram) -> None:
-        """Take a peer's message."""
+        """Handle a peer's message."""
         if isinstance(message, RegistryUpdate):
             self._apply_update(message)
         elif isinstance(message, Heartbeat):
@@ -83,7 +83,7 @@
             self._send_all(message.address)
 
     def _request_registry(self, heartbeat: Heartbeat) -> None:
-        """Ask a peer for all entries where the store does not answer."""
+        """Request all entries from a peer if the store fails and none is known."""
         now = time.monotonic()
         if not self._has_failed or self._state.servers.states or not heartbeat.can_decide:
             return
@@ -95,7 +95,7 @@
         self._mesh.send_message(heartbeat.address, request)
 
     def _send_all(self, address: str) -> None:
-        """Send all entries known here, in as many datagrams as they need."""
+        """Send all entries, in as many datagrams as they need."""
         position = self._reader.position
         if position is None:
             return
@@ -163,7 +163,7 @@
         if isinstance(decoded, Refusal):
             if self._decoded.get(record.key) is not None or record.key not in self._decoded:
                 logger.warning(
-                    "store: an entry names no backend server to use",
+                    "store: an entry of the registry cannot be used",
                     entry=record.key,
                     offset=record.offset,
                     reason=decoded.reason,
@@ -223,5 +223,5 @@
 
 
 def _estimate_size(entry: RegistryEntry) -> int:
-    """Measure about how many bytes of a datagram an entry takes."""
+    """Estimate the bytes that an entry takes in a datagram."""
     return len(entry.value or b"") + len(entry.name) + ENTRY_OVERHEAD_BYTES
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/slot_exchange.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/slot_exchange.py
@@ -1,4 +1,4 @@
-"""Questions for slots and their answers, as datagrams between the daemons of a zone."""
+"""Slot requests and their answers, as datagrams between the daemons of a zone."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class SlotExchange:
-    """Carries the pipeline's orders about slots to other daemons, and theirs to it.
+    """Sends the pipeline's slot orders to other daemons, and feeds it their messages.
 
     :param emit: runs a message through the request pipeline
     """
@@ -49,7 +49,7 @@
         }
 
     def receive(self, message: Datagram) -> None:
-        """Take a peer's message."""
+        """Handle a peer's message."""
         now = time.monotonic()
         if isinstance(message, SlotRequestDatagram):
             self._emit(_read_request(message, now))
@@ -64,7 +64,7 @@
 
     def _send(self, name: str, message: Datagram) -> None:
         peer = self._state.peers.listed.get(name)
-        # A peer that is not known any more gets no answer; it asks another owner.
+        # A removed peer gets no answer; it requests the slot from another owner.
         if peer is not None:
             self._mesh.send_message(peer.address, message)
 
@@ -118,7 +118,7 @@
         code = CODES_BY_NUMBER.get(message.code)
         if code is None:
             logger.warning(
-                "slots: a refusal has an unknown code; it is left unread",
+                "slots: a refusal with an unknown code is ignored",
                 code=message.code,
                 sender=message.sender,
             )
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/store.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/store.py
@@ -1,4 +1,4 @@
-"""A platform's keyed store: what is asked of it, by functions that an adapter gives."""
+"""A platform's keyed store: its records, and its calls as an adapter encodes them."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Topic(Enum):
-    """What the store holds for the system."""
+    """Topics of the store that the system uses."""
 
     CONFIGURATION = "configuration"
     REGISTRY = "registry"
@@ -60,7 +60,7 @@
     """Records from an offset on.
 
     :param end: offset up to which ``records`` reach
-    :param records_deleted: whether records from the asked offset on were deleted
+    :param records_deleted: whether records from the requested offset on were deleted
     """
 
     records: list[StoreRecord]
@@ -70,11 +70,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StoreCalls:
-    """Encoding and decoding of the calls; ``Refusal`` stands for what cannot be read.
+    """Encoding and decoding of the calls; an answer that cannot be read gives a ``Refusal``.
 
-    :param list_newest: asks for the newest record of each key after a key
-    :param read_tail: asks for records from an offset on, waiting seconds for one
-    :param append: asks to write one record
+    :param list_newest: requests the newest record of each key after a key
+    :param read_tail: requests records from an offset on, waiting seconds for one
+    :param append: requests to write one record
     """
 
     list_newest: Callable[[Topic, str], StoreRequest]
