--- a/packages/dotterelgate-border/src/dotterelgate_border/checking.py
+++ b/packages/dotterelgate-border/src/dotterelgate_border/checking.py
@@ -1,4 +1,4 @@
-"""Documents checked against their models; errors name the file, the key and the cure."""
+"""Checks documents against models; errors name the file, the key and the remedy."""
 
 from __future__ import annotations
 
--- a/packages/dotterelgate-border/src/dotterelgate_border/datagrams.py
+++ b/packages/dotterelgate-border/src/dotterelgate_border/datagrams.py
@@ -1,4 +1,4 @@
-"""Models of the datagrams between daemons that share the view of the load."""
+"""Models of the datagrams between daemons that share their view of the load."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=1):
-    """A daemon is alive.
+    """Announces that a daemon is alive.
 
-    :param address: where it takes datagrams
+    :param address: address on which it receives datagrams
     :param revision: revision of the configuration that it has in force, 0 for none
     :param in_flight: requests that it has at each backend server, where any
     :param wants_reply: whether the receiver should answer with a heartbeat of its own
-    :param can_decide: whether it knows a configuration and backend servers
+    :param can_decide: whether it has a configuration and backend servers
     """
 
     sender: str
@@ -46,14 +46,14 @@
 
 
 class LoadEntry(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """What a daemon knows of one backend server.
+    """A daemon's view of one backend server.
 
     :param in_flight: requests that the sender has at it
-    :param running: requests that it said it works on, -1 when it said nothing new
-    :param age_ms: milliseconds since it said so
-    :param slowdown_percent: its own figure, 100 for usual
-    :param failed: whether a request or probe failed since the last news
-    :param pace_percent: measured time against the usual one, 0 for nothing new
+    :param running: requests that the server reported as running, -1 without a new report
+    :param age_ms: milliseconds since that report
+    :param slowdown_percent: slowdown that it reported, 100 for its usual speed
+    :param failed: whether a request or probe failed since the last update
+    :param pace_percent: measured time relative to the usual one, 0 without a new one
     """
 
     server: str
@@ -68,9 +68,9 @@
 
 
 class LoadUpdate(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=2):
-    """Loads that changed since the sender's last news.
+    """Loads that changed since the sender's last update.
 
-    :param is_remote_zone: whether they are all the loads of another zone, summed there
+    :param is_remote_zone: whether they are the total loads at servers of another zone
     """
 
     sender: str
@@ -80,7 +80,7 @@
 
 
 class RegistryEntry(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """One entry of the store as its bytes stand there; ``None`` for a removed one."""
+    """One entry with its bytes as stored; ``None`` for a removed one."""
 
     name: str
     offset: int
@@ -90,10 +90,9 @@
 class RegistryUpdate(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=3):
     """Entries that a daemon read from the store.
 
-    :param start: position from which on all changes are in ``entries``
+    :param start: position from which on ``entries`` holds all changes
     :param end: position up to which the sender has read
-    :param returned_ms: milliseconds since the store returned from an outage, -1 when
-        the sender knows of none
+    :param returned_ms: milliseconds since an outage of the store ended, -1 for none lately
     """
 
     sender: str
@@ -104,14 +103,14 @@
 
 
 class ConfigurationRequest(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=4):
-    """A daemon lacks the configuration that the receiver has in force."""
+    """Requests the configuration that the receiver has in force."""
 
     sender: str
     address: str
 
 
 class ConfigurationPart(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=5):
-    """One part of the configuration's bytes as they stand in the store, compressed.
+    """One part of the configuration's bytes as stored, compressed.
 
     :param revision: revision that the sender has in force
     :param part: number of this part, from 0
@@ -126,14 +125,14 @@
 
 
 class RegistryRequest(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=11):
-    """A daemon knows no backend server and cannot read the store."""
+    """Requests all entries, when the sender has none and cannot read the store."""
 
     sender: str
     address: str
 
 
 class SlotRequestDatagram(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=6):
-    """A call of the sender wants a slot; fields as in ``SlotRequest``."""
+    """Requests a slot for the sender's call; fields as in ``SlotRequest``."""
 
     sender: str
     call_id: int
@@ -148,7 +147,7 @@
 
 
 class SlotGrantDatagram(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=7):
-    """The receiver's call may go to a backend server.
+    """Grants the receiver's call a slot of a backend server.
 
     :param slowdown: slowdown that the backend server reported last
     :param report_age: seconds since that report
@@ -162,17 +161,17 @@
 
 
 class SlotQueuedDatagram(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=8):
-    """The receiver's call waits at the sender."""
+    """The receiver's call waits in the sender's queue."""
 
     sender: str
     call_id: int
 
 
 class SlotDenialDatagram(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=9):
-    """The receiver's call gets no slot.
+    """Denies the receiver's call a slot.
 
     :param code: number of the result code
-    :param retry_after: seconds after which the caller should come back
+    :param retry_after: seconds after which the caller should retry
     """
 
     sender: str
@@ -183,7 +182,7 @@
 
 
 class SlotWithdrawalDatagram(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=10):
-    """The sender's call needs no slot any more."""
+    """The sender's call no longer needs a slot."""
 
     sender: str
     call_id: int
@@ -215,6 +214,6 @@
 def decode_datagram(data: bytes) -> Datagram:
     """Decode a message.
 
-    :raises msgspec.DecodeError: when the bytes are not one
+    :raises msgspec.DecodeError: when the bytes are not a valid message
     """
     return _decoder.decode(data)
--- a/packages/dotterelgate-border/src/dotterelgate_border/declarations.py
+++ b/packages/dotterelgate-border/src/dotterelgate_border/declarations.py
@@ -76,12 +76,12 @@
         for kind, names in (("service", services), ("backend server", servers)):
             repeated = sorted({name for name in names if names.count(name) > 1})
             if repeated:
-                raise ValueError(f"{kind} names must be unique; {', '.join(repeated)} stands twice")
+                raise ValueError(f"{kind} names must be unique; {', '.join(repeated)} used twice")
         return self
 
 
 def build_configuration(model: ConfigurationModel, *, id: str, revision: int) -> Configuration:
-    """Build the data class that the decisions use from a checked document."""
+    """Build the configuration of the core from a checked document."""
     services = tuple(_build_service(service) for service in model.services)
     return Configuration(id=id, revision=revision, services=services)
 
--- a/packages/dotterelgate-border/src/dotterelgate_border/handover.py
+++ b/packages/dotterelgate-border/src/dotterelgate_border/handover.py
@@ -1,4 +1,4 @@
-"""Messages between daemons, in MessagePack by a library."""
+"""Messages between daemons, encoded as MessagePack."""
 
 from __future__ import annotations
 
@@ -37,13 +37,13 @@
 
 
 class HandedCall(_Message, frozen=True):
-    """A whole request.
+    """A complete request that is forwarded to a peer.
 
     :param target: name of the daemon that it is meant for
     :param call_id: id in the sending daemon
     :param purpose: ``hold`` or ``own``
-    :param timeout: seconds left to the caller
-    :param expires: wall-clock second after which it must not be taken
+    :param timeout: seconds until the caller's time limit
+    :param expires: wall-clock second after which it must not be accepted
     :param fence: wall-clock second after which no backend server must start it
     """
 
@@ -66,9 +66,9 @@
     """A part of the answer to a handed call; the first has the status.
 
     :param part: number of the part, from 0
-    :param last: whether the answer is whole with this part
+    :param last: whether this part completes the answer
     :param code: result code when the peer refused
-    :param cut: whether the answer ended before it was whole
+    :param cut: whether the answer ended before it was complete
     """
 
     call_id: int
@@ -86,13 +86,13 @@
 
 
 class Withdrawal(_Message, frozen=True):
-    """The caller of a handed call left."""
+    """The caller of a handed call disconnected."""
 
     call_id: int
 
 
 class Ping(_Message, frozen=True):
-    """Question whether a peer still works."""
+    """Checks whether a peer still answers."""
 
 
 class Pong(_Message, frozen=True):
@@ -112,7 +112,7 @@
 
 
 class ConfigurationOffer(_Message, frozen=True):
-    """The configuration in force at the sender, as JSON; empty asks for it."""
+    """The configuration in force at the sender, as JSON; an empty one requests it."""
 
     id: str = ""
     revision: int = 0
@@ -131,7 +131,7 @@
 
 
 class RecordsAsked(_Message, frozen=True):
-    """Question for records of the log, while the log cannot be read.
+    """Requests records of the log while the log cannot be read.
 
     :param start: first offset wanted, or ``None`` for all that the peer has
     """
@@ -149,7 +149,7 @@
 
 
 class RangeOffer(_Message, frozen=True):
-    """A leased range that the sender would grant to the receiver.
+    """Offers to grant a leased range to the receiver.
 
     :param transfer: id of the grant that will follow
     """
@@ -160,7 +160,7 @@
 
 
 class RangeTaken(_Message, frozen=True):
-    """Answer to :class:`RangeOffer`."""
+    """Accepts a :class:`RangeOffer`."""
 
     resource: str
     transfer: str
@@ -171,7 +171,7 @@
 
     :param transfer: id of that grant
     :param history_from: wall-clock second before which keys may have run elsewhere
-    :param history_remaining: seconds for which such keys may still come
+    :param history_remaining: seconds for which such keys may still arrive
     """
 
     target: str
@@ -183,7 +183,7 @@
 
 
 class KeysTaken(_Message, frozen=True):
-    """Answer to :class:`HandedKeys`."""
+    """Acknowledges :class:`HandedKeys`."""
 
     resource: str
     transfer: str
--- a/packages/dotterelgate-border/src/dotterelgate_border/problems.py
+++ b/packages/dotterelgate-border/src/dotterelgate_border/problems.py
@@ -1,4 +1,4 @@
-"""The error that names each wrong value, and reading of JSON files."""
+"""The error for invalid documents, and reading of JSON files."""
 
 from __future__ import annotations
 
--- a/packages/dotterelgate-border/src/dotterelgate_border/records.py
+++ b/packages/dotterelgate-border/src/dotterelgate_border/records.py
@@ -26,7 +26,7 @@
     """A configuration that an operator publishes.
 
     ``previous`` is the id of the configuration that it replaces; ``read_to``
-    and ``oldest`` say what its writer had read of the log.
+    and ``oldest`` state what its writer had read of the log.
     """
 
     kind: Literal["publication"] = "publication"
--- a/packages/dotterelgate-border/src/dotterelgate_border/settings.py
+++ b/packages/dotterelgate-border/src/dotterelgate_border/settings.py
@@ -43,13 +43,13 @@
     name: Annotated[Name, _describe("name of this VM, as the platform lists it")]
     zone: Annotated[str, _describe("availability zone of this VM")]
     callers: Annotated[Address, _describe("address on which callers are served")]
-    peers: Annotated[Address, _describe("address on which other daemons are heard")]
+    peers: Annotated[Address, _describe("address for messages from other daemons")]
     endpoint: Annotated[Address, _describe("address of health, metrics and status")]
     platform_timeout: Annotated[float, _bound(0.1, 60)] = 2.0
     head_limit: Annotated[int, _bound(1024, 1_048_576)] = 32_768
     kept_body_limit: Annotated[int, _bound(0, 16_777_216)] = 262_144
     stop_limit: Annotated[float, _bound(0, 3600, "longest graceful stop")] = 60.0
-    stop_linger: Annotated[float, _bound(0, 120, "seconds that the balancer needs")] = 2.0
+    stop_linger: Annotated[float, _bound(0, 120, "seconds for the load balancer to react")] = 2.0
     connection_idle: Annotated[float, _bound(0.1, 3600)] = 30.0
     caller_connections: Annotated[int, _bound(1, 60_000)] = 2000
 
@@ -65,7 +65,7 @@
     key_ranges: Annotated[int, _bound(1, 1024, "the same on every daemon")] = 32
     key_retention: Annotated[float, _bound(1, 86400)] = 600.0
     key_limit: Annotated[int, _bound(1, 5_000_000)] = 200_000
-    clock_error: Annotated[float, _bound(0, 10, "wall clocks differ at most so")] = 0.25
+    clock_error: Annotated[float, _bound(0, 10, "largest difference of wall clocks")] = 0.25
     holder_wait: Annotated[float, _bound(0, 30)] = 2.0
 
 
@@ -75,7 +75,7 @@
     store: Annotated[Address, _describe("address of the platform's store")]
     metrics: Annotated[Address, _describe("address of the metrics for the platform")]
     retry_share: Annotated[float, _bound(0, 1, "retries allowed per request")] = 0.1
-    retry_burst: Annotated[float, _bound(0, 100, "retries saved up for a service")] = 1.5
+    retry_burst: Annotated[float, _bound(0, 100, "retries that a service can save up")] = 1.5
 
 
 def read_settings(path: Path, model: type[AnySettings]) -> AnySettings:
--- a/packages/dotterelgate-operator/src/dotterelgate_operator/__init__.py
+++ b/packages/dotterelgate-operator/src/dotterelgate_operator/__init__.py
@@ -1,4 +1,4 @@
-"""The library in which operators declare services, and their command."""
+"""Library for declaring services, and the operators' command."""
 
 from __future__ import annotations
 
--- a/packages/dotterelgate-operator/src/dotterelgate_operator/command.py
+++ b/packages/dotterelgate-operator/src/dotterelgate_operator/command.py
@@ -77,7 +77,7 @@
         str | None, typer.Option(help="Publish only if this configuration id is in force.")
     ] = None,
 ) -> None:
-    """Publish a configuration; exit 0 accepted, 3 lost a race, 4 not settled."""
+    """Publish a configuration; exit code 0: accepted, 3: lost a race, 4: not settled."""
     model = _read(file)
     if wait and not daemon:
         _fail(["--wait: needs at least one --daemon; name the daemons to wait for"])
@@ -96,13 +96,13 @@
 
 @_command.command()
 def status(daemon: Daemons) -> None:
-    """Show what each daemon has in force; exit 1 when one cannot be asked."""
+    """Show the state of each daemon; exit code 1 when one cannot be reached."""
     failed = False
     typer.echo(f"{'daemon':<22}{'revision':>9}{'in flight':>10}{'held':>6}  state / draining")
     for address in daemon:
         document = _fetch(address, "/status")
         if document is None:
-            typer.echo(f"{address:<22}cannot be asked")
+            typer.echo(f"{address:<22}cannot be reached")
             failed = True
             continue
         typer.echo(_format_status(document))
@@ -120,7 +120,7 @@
     query = httpx.QueryParams(method=method, host=host, path=path)
     document = _fetch(daemon, f"/explain?{query}")
     if document is None:
-        _print_error(f"{daemon}: cannot be asked; check that the daemon runs")
+        _print_error(f"{daemon}: cannot be reached; check that the daemon runs")
         sys.exit(EXIT_FAILED)
     typer.echo(json.dumps(document, indent=2))
 
--- a/packages/dotterelgate-operator/src/dotterelgate_operator/declaring.py
+++ b/packages/dotterelgate-operator/src/dotterelgate_operator/declaring.py
@@ -31,7 +31,7 @@
     :param name: unique within the configuration
     :param address: ``IP:port``
     :param slots: requests that it works on at once
-    :param connections: connections allowed to it over all daemons
+    :param connections: connections allowed to it by all daemons together
     :param zone: availability zone
     :param draining: whether it gets no new work
     :raises pydantic.ValidationError: when a value is out of bounds
@@ -77,7 +77,7 @@
 
 
 def declare(*services: ServiceModel) -> ConfigurationModel:
-    """Put services together to one configuration.
+    """Combine services into one configuration.
 
     :raises pydantic.ValidationError: when two names are the same
     """
--- a/packages/dotterelgate-operator/src/dotterelgate_operator/publishing.py
+++ b/packages/dotterelgate-operator/src/dotterelgate_operator/publishing.py
@@ -1,4 +1,4 @@
-"""Publishing a configuration and settling whether it was accepted."""
+"""Publishes a configuration and finds out whether it was accepted."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class Verdict(Enum):
-    """What became of a publication."""
+    """Outcome of a publication."""
 
     ACCEPTED = "accepted"
     LOST_RACE = "lost the race"
@@ -61,8 +61,8 @@
     """Follows the log and appends publications.
 
     :param log: address of the platform's log service
-    :param daemons: addresses of daemon endpoints, asked when the log alone
-        does not tell what is in force
+    :param daemons: addresses of daemon endpoints, queried when the log alone
+        does not show the configuration in force
     :param tell: called with progress lines
     """
 
@@ -81,15 +81,15 @@
     ) -> Published:
         """Publish a configuration to follow the one in force.
 
-        :param wait: seconds until an unreachable log is given up
-        :param parent: id that must be in force, or ``None`` for whichever is
+        :param wait: seconds to keep trying an unreachable log
+        :param parent: id that must be in force, or ``None`` for any
         """
         deadline = time.monotonic() + wait
         if not self._retry(self._read_all, deadline):
             return Published(verdict=Verdict.UNSETTLED, reason="the log cannot be read")
         found = self._find_parent()
         if found is None:
-            reason = "what is in force is not known; name a daemon with --daemon"
+            reason = "the configuration in force is not known; name a daemon with --daemon"
             return Published(verdict=Verdict.NO_PARENT, reason=reason)
         previous, revision = found
         if parent is not None and previous != parent:
@@ -109,7 +109,7 @@
     def _append_and_settle(self, record: Publication, deadline: float) -> Published:
         while True:
             self._append(record)
-            # A lost answer is settled by reading; the same id never counts twice.
+            # Reading shows whether an unanswered append took effect; one id never counts twice.
             if self._retry(self._read_all, deadline):
                 published = self._find_verdict(record)
                 if published is not None:
@@ -135,7 +135,7 @@
             answer = self._client.post(f"{self._log}/records", json=record.model_dump())
             answer.raise_for_status()
         except httpx.HTTPError as error:
-            self._tell(f"the log gave no answer ({error}); reading it to find out")
+            self._tell(f"the log did not answer ({error}); reading it to find out")
 
     def _retry(self, attempt: Callable[[], None], deadline: float) -> bool:
         while True:
@@ -193,7 +193,7 @@
             try:
                 status = self._client.get(f"http://{daemon}/status").json()
             except (httpx.HTTPError, ValueError):
-                self._tell(f"daemon {daemon} cannot be asked")
+                self._tell(f"daemon {daemon} cannot be reached")
                 continue
             if status["configuration"] and (newest is None or status["revision"] > newest[1]):
                 newest = (status["configuration"], status["revision"])
