--- a/features/subjects/system.py
+++ b/features/subjects/system.py
@@ -88,7 +88,7 @@
         publisher = Publisher(
             log=self.fleet.log.address,
             daemons=[each.endpoint for each in self.fleet.daemons.values()],
-            tell=lambda line: None,
+            notify=lambda line: None,
         )
         published = publisher.publish(self.build_configuration(**options), operator="test", wait=10)
         self.revision = max(self.revision, published.revision)
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/processes.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/processes.py
@@ -80,7 +80,7 @@
     ]
     model = declare(service("s", servers=pool, routes=routes, queue_limit=5))
     assert fleet.log is not None
-    publisher = Publisher(log=fleet.log.address, daemons=[], tell=print)
+    publisher = Publisher(log=fleet.log.address, daemons=[], notify=print)
     publisher.publish(model, operator="bench", wait=10)
     fleet.wait_for_revision(1, seconds=20, names=list(fleet.daemons))
     fleet.wait_for_holders(ranges=KEY_RANGES, seconds=30)
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/peering.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/peering.py
@@ -218,12 +218,12 @@
             )
 
         def refuse(refusal: Refusal) -> None:
-            narrowed = refusal.outcome is Outcome.ATTEMPT_NOT_RUN
+            attempt_only = refusal.outcome is Outcome.ATTEMPT_NOT_RUN
             send(
                 last=True,
                 code=refusal.code.number,
                 reason=refusal.reason,
-                attempt_only=narrowed,
+                attempt_only=attempt_only,
             )
 
         return Reply(
@@ -277,8 +277,8 @@
 
 def _read_refusal(message: AnswerPart) -> Refusal:
     code = codes.CODES_BY_NUMBER.get(message.code, codes.PEER_LOST)
-    narrowed = Outcome.ATTEMPT_NOT_RUN if message.attempt_only else None
-    return Refusal(code, message.reason, narrowed)
+    outcome = Outcome.ATTEMPT_NOT_RUN if message.attempt_only else None
+    return Refusal(code, message.reason, outcome)
 
 
 def _read_complete(message: AnswerPart) -> StoredAnswer:
--- a/packages/dotterelgate-operator/src/dotterelgate_operator/command.py
+++ b/packages/dotterelgate-operator/src/dotterelgate_operator/command.py
@@ -82,7 +82,7 @@
     if wait and not daemon:
         _fail(["--wait: needs at least one --daemon; name the daemons to wait for"])
     started = time.monotonic()
-    publisher = Publisher(log=log, daemons=daemon, tell=_print_error)
+    publisher = Publisher(log=log, daemons=daemon, notify=_print_error)
     published = publisher.publish(model, operator=getpass.getuser(), wait=timeout, parent=parent)
     if published.verdict is Verdict.ACCEPTED:
         typer.echo(f"revision {published.revision} is accepted, id {published.id}")
--- a/packages/dotterelgate-operator/src/dotterelgate_operator/publishing.py
+++ b/packages/dotterelgate-operator/src/dotterelgate_operator/publishing.py
@@ -63,13 +63,13 @@
     :param log: address of the platform's log service
     :param daemons: addresses of daemon endpoints, queried when the log alone
         does not show the configuration in force
-    :param tell: called with progress lines
+    :param notify: called with progress lines
     """
 
-    def __init__(self, *, log: str, daemons: list[str], tell: Callable[[str], None]) -> None:
+    def __init__(self, *, log: str, daemons: list[str], notify: Callable[[str], None]) -> None:
         self._log = f"http://{log}"
         self._daemons = daemons
-        self._tell = tell
+        self._notify = notify
         self._client = httpx.Client(timeout=REQUEST_SECONDS, trust_env=False)
         self._state = ConfigurationState()
         self._next: int | None = None
@@ -117,7 +117,7 @@
             if time.monotonic() >= deadline:
                 reason = "the log did not answer in time; publish again to settle it"
                 return Published(verdict=Verdict.UNSETTLED, id=record.id, reason=reason)
-            self._tell("the record is not on the log yet; appending it again")
+            self._notify("the record is not on the log yet; appending it again")
             time.sleep(RETRY_INTERVAL_SECONDS)
 
     def _find_verdict(self, record: Publication) -> Published | None:
@@ -135,7 +135,7 @@
             answer = self._client.post(f"{self._log}/records", json=record.model_dump())
             answer.raise_for_status()
         except httpx.HTTPError as error:
-            self._tell(f"the log did not answer ({error}); reading it to find out")
+            self._notify(f"the log did not answer ({error}); reading it to find out")
 
     def _retry(self, attempt: Callable[[], None], deadline: float) -> bool:
         while True:
@@ -144,7 +144,7 @@
             except (httpx.HTTPError, InvalidDocumentError) as error:
                 if time.monotonic() >= deadline:
                     return False
-                self._tell(f"the log cannot be read ({error}); trying again")
+                self._notify(f"the log cannot be read ({error}); trying again")
                 time.sleep(RETRY_INTERVAL_SECONDS)
                 continue
             return True
@@ -193,7 +193,7 @@
             try:
                 status = self._client.get(f"http://{daemon}/status").json()
             except (httpx.HTTPError, ValueError):
-                self._tell(f"daemon {daemon} cannot be reached")
+                self._notify(f"daemon {daemon} cannot be reached")
                 continue
             if status["configuration"] and (newest is None or status["revision"] > newest[1]):
                 newest = (status["configuration"], status["revision"])
