--- a/packages/dotterelgate-border/src/dotterelgate_border/settings.py
+++ b/packages/dotterelgate-border/src/dotterelgate_border/settings.py
@@ -11,9 +11,9 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-__all__ = ["Address", "DaemonSettings", "FrontSettings", "StoreDaemonSettings", "read_settings"]
+__all__ = ["Address", "CommonSettings", "DaemonSettings", "StoreDaemonSettings", "read_settings"]
 
-AnySettings = TypeVar("AnySettings", bound="FrontSettings")
+AnySettings = TypeVar("AnySettings", bound="CommonSettings")
 
 _OCTET = r"(?:25[0-5]|2[0-4]\d|1?\d?\d)"
 _PORT = r"(?:6553[0-5]|655[0-2]\d|65[0-4]\d\d|6[0-4]\d{3}|[1-5]\d{4}|\d{1,4})"
@@ -37,7 +37,7 @@
 Name = Annotated[str, msgspec.Meta(pattern=_NAME)]
 
 
-class FrontSettings(msgspec.Struct, frozen=True, kw_only=True):
+class CommonSettings(msgspec.Struct, frozen=True, kw_only=True):
     """Settings that every daemon has; times are in seconds, sizes in bytes."""
 
     name: Annotated[Name, _describe("name of this VM, as the platform lists it")]
@@ -54,7 +54,7 @@
     caller_connections: Annotated[int, _bound(1, 60_000)] = 2000
 
 
-class DaemonSettings(FrontSettings, frozen=True, kw_only=True):
+class DaemonSettings(CommonSettings, frozen=True, kw_only=True):
     """All settings of ``dotterelgated``."""
 
     log: Annotated[Address, _describe("address of the platform's log service")]
@@ -69,7 +69,7 @@
     holder_wait: Annotated[float, _bound(0, 30)] = 2.0
 
 
-class StoreDaemonSettings(FrontSettings, frozen=True, kw_only=True):
+class StoreDaemonSettings(CommonSettings, frozen=True, kw_only=True):
     """All settings of a daemon that follows a platform's keyed store."""
 
     store: Annotated[Address, _describe("address of the platform's store")]
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/common_parts.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/common_parts.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from dotterelgate_border.settings import FrontSettings
+    from dotterelgate_border.settings import CommonSettings
     from dotterelgate_core.messages import Decision
     from dotterelgate_core.pipes import Filter
     from dotterelgate_core.state import DaemonState
@@ -53,7 +53,7 @@
 
 def build_common_parts(
     *,
-    settings: FrontSettings,
+    settings: CommonSettings,
     state: DaemonState,
     dialect: Dialect,
     decide: Filter,
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/reloading.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/reloading.py
@@ -14,15 +14,15 @@
     from collections.abc import Callable
     from pathlib import Path
 
-    from dotterelgate_border.settings import FrontSettings
+    from dotterelgate_border.settings import CommonSettings
 
 __all__ = ["make_reload"]
 
 logger = structlog.get_logger("reloading")
 
 
-def make_reload(path: Path, settings: FrontSettings) -> Callable[[], None]:
-    """Build the function that compares the file with the settings in force.
+def make_reload(path: Path, settings: CommonSettings) -> Callable[[], None]:
+    """Make the function that compares the file with the settings in force.
 
     Addresses and limits are fixed for the life of a process, so a change is only
     checked and logged; it is in force from the next start.
