--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/explanation.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/explanation.py
@@ -13,7 +13,7 @@
     from dotterelgate_core.servers import ServerState
     from dotterelgate_core.state import DaemonState, LogPosition
 
-__all__ = ["describe_daemon", "describe_front", "explain_route"]
+__all__ = ["describe_common", "describe_daemon", "explain_route"]
 
 
 def describe_daemon(state: DaemonState, position: LogPosition, incarnation: str) -> dict:
@@ -21,14 +21,14 @@
     wall = time.time()
     now = time.monotonic()
     return {
-        **describe_front(state, incarnation),
+        **describe_common(state, incarnation),
         "log_read_to": position.read_to,
         "held": [each for each in state.leases.leases if state.leases.holds(each, now, wall)],
         "keys": state.keys.size,
     }
 
 
-def describe_front(state: DaemonState, incarnation: str) -> dict:
+def describe_common(state: DaemonState, incarnation: str) -> dict:
     """Describe the state that every daemon has, with a log or a keyed store."""
     now = time.monotonic()
     current = state.configuration.current
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/store_assembly.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/store_assembly.py
@@ -25,7 +25,7 @@
 from dotterelgate_daemon.configuration_following import ConfigurationFollower
 from dotterelgate_daemon.directory import DaemonDirectory
 from dotterelgate_daemon.endpoint import Endpoint, serve_endpoint
-from dotterelgate_daemon.explanation import describe_front, explain_route
+from dotterelgate_daemon.explanation import describe_common, explain_route
 from dotterelgate_daemon.keyed_reading import StoreAccess
 from dotterelgate_daemon.mesh import Mesh
 from dotterelgate_daemon.platform import PlatformClient
@@ -136,7 +136,7 @@
     return Endpoint(
         is_healthy=lambda: _is_ready(base.state),
         render_metrics=base.metrics.render,
-        describe=lambda: describe_front(base.state, incarnation),
+        describe=lambda: describe_common(base.state, incarnation),
         explain=lambda method, host, path: explain_route(base.state, method, host, path),
     )
 
