--- a/packages/dotterelgate-operator/src/dotterelgate_operator/command.py
+++ b/packages/dotterelgate-operator/src/dotterelgate_operator/command.py
@@ -82,12 +82,12 @@
     if wait and not daemon:
         _fail(["--wait: needs at least one --daemon; name the daemons to wait for"])
     started = time.monotonic()
-    publisher = Publisher(log=log, daemons=daemon, notify=_print_error)
+    publisher = Publisher(log=log, daemons=daemon, notify=_report)
     published = publisher.publish(model, operator=getpass.getuser(), wait=timeout, parent=parent)
     if published.verdict is Verdict.ACCEPTED:
         typer.echo(f"revision {published.revision} is accepted, id {published.id}")
     else:
-        _print_error(f"{published.verdict.value}: {published.reason}")
+        _report(f"{published.verdict.value}: {published.reason}")
         lost = published.verdict is Verdict.LOST_RACE
         sys.exit(EXIT_LOST_RACE if lost else EXIT_UNSETTLED)
     if wait:
@@ -120,7 +120,7 @@
     query = httpx.QueryParams(method=method, host=host, path=path)
     document = _fetch(daemon, f"/explain?{query}")
     if document is None:
-        _print_error(f"{daemon}: cannot be reached; check that the daemon runs")
+        _report(f"{daemon}: cannot be reached; check that the daemon runs")
         sys.exit(EXIT_FAILED)
     typer.echo(json.dumps(document, indent=2))
 
@@ -162,31 +162,29 @@
 
 def _wait_for(revision: int, daemons: list[str], deadline: float) -> None:
     pending = set(daemons)
-    printed_at = time.monotonic()
+    reported_at = time.monotonic()
     while pending and time.monotonic() < deadline:
         for address in sorted(pending):
             document = _fetch(address, "/status")
             if document is not None and document["revision"] >= revision:
                 pending.discard(address)
-        if pending and time.monotonic() - printed_at > 1.0:
-            printed_at = time.monotonic()
-            _print_error(f"waiting for {', '.join(sorted(pending))}")
+        if pending and time.monotonic() - reported_at > 1.0:
+            reported_at = time.monotonic()
+            _report(f"waiting for {', '.join(sorted(pending))}")
         time.sleep(POLL_SECONDS if pending else 0.0)
     if pending:
-        _print_error(
-            f"revision {revision} is accepted but not yet seen on {', '.join(sorted(pending))}"
-        )
+        _report(f"revision {revision} is accepted but not yet seen on {', '.join(sorted(pending))}")
         sys.exit(EXIT_UNSETTLED)
     typer.echo(f"revision {revision} is in force on {len(daemons)} daemons")
 
 
-def _print_error(line: str) -> None:
+def _report(line: str) -> None:
     typer.echo(line, err=True)
 
 
 def _fail(problems: list[str]) -> None:
     for problem in problems:
-        _print_error(problem)
+        _report(problem)
     sys.exit(EXIT_USAGE)
 
 
