--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/assembly.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/assembly.py
@@ -243,7 +243,9 @@
         on_failure=note_log_failure,
     )
     vms = VmListClient(
-        client=make_client(settings.vms, "vms"), on_list=follower.receive_vms, on_failure=note_vms_failure
+        client=make_client(settings.vms, "vms"),
+        on_list=follower.receive_vms,
+        on_failure=note_vms_failure,
     )
     return log, vms
 
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/reloading.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/reloading.py
@@ -22,7 +22,7 @@
 
 
 def make_reload(path: Path, settings: CommonSettings) -> Callable[[], None]:
-    """Make the function that compares the file with the settings in force.
+    """Build the function that compares the file with the settings in force.
 
     Addresses and limits are fixed for the life of a process, so a change is only
     checked and logged; it is in force from the next start.
