--- a/features/soaking/schedule.py
+++ b/features/soaking/schedule.py
@@ -277,7 +277,7 @@
         self.evidence.leavings.append(
             Span(subject=name, begun=now, ended=now + seconds, what="leaves")
         )
-        self._later(seconds + 0.1, lambda: self._platform.settle(name))
+        self._later(seconds + 0.1, lambda: self._platform.mark_ready(name))
 
     def _publish(self) -> None:
         self._version += 1
