--- a/packages/dotterelgate-bench/src/dotterelgate_bench/__init__.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform and the backend servers, and experiments."""
+"""Stand-ins for the platform and the backend servers, a demo and measurements."""
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/backend.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/backend.py
@@ -28,16 +28,16 @@
 
 @dataclass(kw_only=True)
 class BackendFaults:
-    """Ways in which it misbehaves, set with ``POST /_faults``.
+    """Faults that it simulates, set with ``POST /_faults``.
 
-    :param draining: whether it says that it is leaving
+    :param draining: whether it reports that it is draining
     :param shed: whether it refuses all work as not run
     :param slow: factor on all service times
-    :param cut_body: answers that end in the middle of the body
-    :param lose_answer: answers that are not sent though the request ran
-    :param double_answer: answers that are followed by another one
-    :param junk: answers that are not HTTP
-    :param no_length: answers whose end is only told by closing
+    :param cut_body: number of answers that end in the middle of the body
+    :param lose_answer: number of answers that are not sent though the request ran
+    :param double_answer: number of answers that are sent twice
+    :param junk: number of answers that are not HTTP
+    :param no_length: number of answers that only end with the connection
     """
 
     draining: bool = False
@@ -52,11 +52,12 @@
 
 @dataclass(kw_only=True)
 class BackendStandIn:
-    """Works on ``slots`` requests at once and queues the rest.
+    """Backend server that runs ``slots`` requests at once and queues the rest.
 
-    A request's service time is its query's ``ms``, or drawn from the seed.
+    A request's service time is its query's ``ms``, or else drawn from ``seed``.
 
-    :param cold_seconds: time after the start in which it works at a third of its speed
+    :param cold_seconds: seconds after the start in which requests take three times as long
+    :param probes: wall-clock second and service time of each probe
     """
 
     streams: StreamService
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/clock.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/clock.py
@@ -15,7 +15,7 @@
 
 @dataclass(kw_only=True)
 class FakeClock:
-    """Time that only passes from one scheduled function to the next.
+    """Clock that advances from one scheduled function to the next.
 
     :param now: seconds since the start
     """
@@ -38,7 +38,7 @@
         self.schedule(interval, again)
 
     def run_until(self, end: float) -> None:
-        """Run everything that is due before ``end``."""
+        """Run everything that is due up to ``end`` and advance to it."""
         while self._due and self._due[0][0] <= end:
             self.now, _, call = heapq.heappop(self._due)
             call()
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/demo.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/demo.py
@@ -1,4 +1,4 @@
-"""Demonstration: the whole path through separate processes on loopback."""
+"""Demonstration: publication and requests through separate processes on loopback."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 @dataclass(kw_only=True)
 class Tally:
-    """Answers that went through one daemon."""
+    """Count of the answers through one daemon."""
 
     whole: int = 0
     wrong: int = 0
@@ -71,7 +71,7 @@
 def main() -> int:
     """Run the demonstration.
 
-    :returns: 0 when every answer was right and no key ran twice
+    :returns: 0 if every answer was right and every key ran once
     """
     fleet = Fleet()
     try:
@@ -179,7 +179,7 @@
 
 def _print_table(fleet: Fleet, tallies: dict[str, Tally]) -> None:
     print(
-        f"\n{'daemon':<9}{'revision':>9}{'whole':>7}{'wrong':>7}{'p50 ms':>8}{'p99 ms':>8}  sent to"
+        f"\n{'daemon':<9}{'revision':>9}{'right':>7}{'wrong':>7}{'p50 ms':>8}{'p99 ms':>8}  sent to"
     )
     for name, tally in tallies.items():
         status = fleet.read_status(name) or {}
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/experiment.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/experiment.py
@@ -1,4 +1,4 @@
-"""One experiment: the decision cores of a user's daemons against fake backend servers."""
+"""Runs the decision cores of a user's daemons against simulated backend servers."""
 
 from __future__ import annotations
 
@@ -62,11 +62,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Plan:
-    """What one experiment does.
+    """Parameters of one experiment.
 
     :param load: share of the slots that the work fills
-    :param stragglers: share of requests that run 25 times longer, unknown before
-    :param long_share: share of requests on a route known to run 25 times longer
+    :param stragglers: share of requests that unexpectedly run 25 times longer
+    :param long_share: share of requests on a route declared long, which run 25 times longer
     :param crest: whether the load rises fivefold for two seconds
     """
 
@@ -85,7 +85,7 @@
 class Figures:
     """Figures of one experiment; times in milliseconds.
 
-    :param useful_share: answers in the crest over what the slots could give
+    :param useful_share: slot time of answered requests in the crest over the capacity
     :param refusal_ms: 99th percentile of the time until a refusal
     :param recovery_s: seconds after the crest until the tail is normal again
     """
@@ -114,7 +114,7 @@
 
 @dataclass(kw_only=True)
 class Experiment:
-    """The state of one run."""
+    """State of one experiment."""
 
     plan: Plan
     clock: FakeClock = field(default_factory=FakeClock)
@@ -135,7 +135,7 @@
             self._schedule_arrivals(number, service)
 
     def run(self) -> None:
-        """Run to the end and let what is in progress finish."""
+        """Run to the end, with time for the requests in progress to finish."""
         self.clock.run_until(self.plan.seconds + TIMEOUT_SECONDS)
 
     def _build_service(self, number: int, count: int) -> Service:
@@ -224,7 +224,7 @@
         self.clock.schedule(self.random.expovariate(rate), arrive)
 
     def mean_work(self) -> float:
-        """Slot seconds of a request on average, with noise."""
+        """Compute the mean slot seconds of a request, noise included."""
         noisy = NOISE_SECONDS / (NOISE_SECONDS + QUIET_SECONDS) if self.plan.noise else 0.0
         long = self.plan.stragglers + self.plan.long_share
         mean = MEAN_SECONDS * (1 + long * (STRAGGLER_FACTOR - 1))
@@ -241,7 +241,7 @@
         work = MEAN_SECONDS * self.random.lognormvariate(-SPREAD * SPREAD / 2, SPREAD)
         if is_long or self.random.random() < self.plan.stragglers:
             work *= STRAGGLER_FACTOR
-        # The method carries the request's name to the draw of its work.
+        # The method carries the request's name, by which _draw finds its work.
         self.works[request] = work
         arrived = self.clock.now
 
@@ -262,12 +262,12 @@
 
 
 def find_crest(plan: Plan) -> tuple[float, float]:
-    """Find when the crest begins and ends, in seconds."""
+    """Find the start and the end of the crest in seconds."""
     return plan.seconds * 0.4, plan.seconds * 0.4 + 2.0
 
 
 def run_experiment(plan: Plan) -> Figures:
-    """Run one experiment and work out its figures."""
+    """Run one experiment and compute its figures."""
     experiment = Experiment(plan=plan)
     experiment.run()
     late = [each for each in experiment.results if each.arrived >= WARM_UP_SECONDS]
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/fleet.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/fleet.py
@@ -1,4 +1,4 @@
-"""Processes of a demo or proof: stand-ins and daemons on loopback."""
+"""Starts stand-ins and daemons as processes on loopback, for the demo and the tests."""
 
 from __future__ import annotations
 
@@ -49,8 +49,8 @@
 def find_free_address() -> str:
     """Find a loopback address that nothing listens on.
 
-    The kernel gives ports from 32768 on to outgoing connections; one of those could be
-    taken while the process that is to listen on it is down.
+    Ports from 32768 on are left out: the kernel gives them to outgoing connections, which
+    could take one while the process that listens on it is down.
     """
     chance = random.SystemRandom()
     while True:
@@ -63,10 +63,10 @@
 
 
 def reserve_port(port: int) -> bool:
-    """Keep other processes that test from this port until this one ends.
+    """Reserve a port among test processes until this process ends.
 
-    The same port of another loopback address is held; a process under test may be down
-    for a while, and its port looks free then.
+    Binds the same port of another loopback address, since the port itself looks free
+    while the process under test is down.
 
     :returns: whether it was not reserved yet
     """
@@ -84,10 +84,10 @@
 class Process:
     """One process of the fleet.
 
-    :param address: where it serves
-    :param endpoint: where a daemon tells its status
-    :param peers: where a daemon hears others
-    :param variables: environment variables besides this process's own
+    :param address: where it serves requests
+    :param endpoint: where a daemon serves its status
+    :param peers: where a daemon receives from its peers
+    :param variables: environment variables added to this process's own
     """
 
     name: str
@@ -115,27 +115,27 @@
         os.kill(self.popen.pid, signo)
 
     def kill(self) -> None:
-        """End it at once, frozen or not."""
+        """Kill it, frozen or not."""
         if self.popen is not None and self.popen.poll() is None:
             self.popen.kill()
             self.popen.wait()
 
     def freeze(self) -> None:
-        """Stop its execution until :meth:`thaw`."""
+        """Suspend it until :meth:`thaw`."""
         self.send(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Continue its execution."""
+        """Resume it."""
         self.send(signal.SIGCONT)
 
     def has_ended(self) -> bool:
-        """Tell whether it has ended."""
+        """Return whether it has ended."""
         return self.popen is None or self.popen.poll() is not None
 
 
 @dataclass(kw_only=True)
 class Fleet:
-    """A log, a VM list, backend servers and daemons, each a process of its own."""
+    """A log, a VM list, backend servers and daemons, each in its own process."""
 
     folder: Path = field(default_factory=lambda: Path(tempfile.mkdtemp(prefix="fleet-")))
     log: Process | None = None
@@ -155,7 +155,7 @@
         self._wait_for_port(self.vms)
 
     def start_server(self, name: str, **options: Any) -> Process:
-        """Start a backend server; options are those of its stand-in command."""
+        """Start a backend server; the options are those of the stand-in's command."""
         words = [f"--{key.replace('_', '-')}={value}" for key, value in options.items()]
         process = self._start_stand_in(name, "server", name, *words)
         self.servers[name] = process
@@ -196,28 +196,28 @@
         return process
 
     def wait_for_processes(self) -> None:
-        """Wait until every process that runs accepts connections."""
+        """Wait until every running process accepts connections."""
         for process in [*self.servers.values(), *self.daemons.values()]:
             if not process.has_ended():
                 self._wait_for_port(process)
 
     def list_vm(self, name: str, *, role: str, address: str = "", state: str = "live") -> None:
-        """Set one VM of the platform's list."""
+        """Add or replace a VM in the platform's list."""
         self.listed[name] = {"name": name, "role": role, "address": address, "state": state}
         self._post_vms()
 
     def set_vm_state(self, name: str, state: str) -> None:
-        """Set the state of a VM of the platform's list."""
+        """Set the state of a VM in the platform's list."""
         self.listed[name]["state"] = state
         self._post_vms()
 
     def set_faults(self, process: Process, **faults: Any) -> None:
-        """Set faults of a stand-in."""
+        """Set the faults that a stand-in simulates."""
         path = "/_faults" if process.name in self.servers else "/faults"
         self.client.post(f"http://{process.address}{path}", json=faults).raise_for_status()
 
     def read_ledger(self, name: str) -> dict:
-        """Read what a backend server ran."""
+        """Read the ledger of a backend server."""
         return self.client.get(f"http://{self.servers[name].address}/_ledger").json()
 
     def read_status(self, name: str) -> dict | None:
@@ -229,7 +229,7 @@
             return None
 
     def count_runs(self, key: str) -> int:
-        """Count how often the live backend servers ran a key."""
+        """Count how often the running backend servers ran a key."""
         runs = 0
         for name, process in self.servers.items():
             if not process.has_ended():
@@ -237,7 +237,7 @@
         return runs
 
     def wait_for_revision(self, revision: int, *, seconds: float, names: list[str]) -> float:
-        """Wait until daemons have a revision in force; returns the seconds it took."""
+        """Wait until a revision is in force on daemons; returns the seconds it took."""
 
         def in_force() -> bool:
             statuses = [self.read_status(name) for name in names]
@@ -246,7 +246,7 @@
         return wait_until(in_force, seconds=seconds, what=f"revision {revision} on {names}")
 
     def wait_for_holders(self, *, ranges: int, seconds: float) -> float:
-        """Wait until every range of keys has a holder among the daemons."""
+        """Wait until every range of keys has a holder; returns the seconds it took."""
 
         def all_held() -> bool:
             held = 0
@@ -259,7 +259,7 @@
         return wait_until(all_held, seconds=seconds, what=f"{ranges} ranges held")
 
     def stop(self) -> None:
-        """End every process that this fleet started."""
+        """Kill every process that this fleet started."""
         processes = [*self.daemons.values(), *self.servers.values()]
         processes += [each for each in (self.log, self.vms) if each is not None]
         for process in processes:
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/model.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/model.py
@@ -1,4 +1,4 @@
-"""Fakes at the decision interface: backend servers, log and network on a fake clock."""
+"""Simulates daemons, backend servers, log and network on a fake clock."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Run:
-    """One entry of a backend server's ledger."""
+    """One execution of a request in a backend server's ledger."""
 
     at: float
     key: str | None
@@ -53,10 +53,10 @@
 
 @dataclass(kw_only=True)
 class ModelServer:
-    """Backend server with slots and a first-come queue.
+    """Backend server with slots and a first-in, first-out queue.
 
     :param draw: draws the seconds that a request takes if it starts now
-    :param heeds_fence: whether it refuses what may no longer start
+    :param heeds_fence: whether it refuses requests that would start after their fence
     """
 
     clock: FakeClock
@@ -71,7 +71,7 @@
     def submit(
         self, call: Call, fence: float | None, attempt: str, done: Callable[[bool], None]
     ) -> Callable[[], None]:
-        """Take a request; ``done`` gets whether it ran. Returns its cancellation."""
+        """Start or queue a request; ``done`` gets whether it ran. Returns its cancel function."""
         is_live = [True]
 
         def cancel() -> None:
@@ -98,7 +98,7 @@
         return cancel
 
     def enter(self, start: Callable[[], None]) -> None:
-        """Start now or when a slot is free."""
+        """Start now, or queue until a slot is free."""
         if self.busy < self.slots:
             self.busy += 1
             start()
@@ -112,7 +112,7 @@
             self.waiting.popleft()()
 
     def count(self) -> int:
-        """Count requests that it works on or queues."""
+        """Count the running and queued requests."""
         return self.busy + len(self.waiting)
 
 
@@ -120,7 +120,7 @@
 class ModelLog:
     """Append-only log with limited retention and outages.
 
-    :param retention: records that are kept
+    :param retention: number of records that are retained
     """
 
     clock: FakeClock
@@ -143,7 +143,7 @@
 
 @dataclass(kw_only=True)
 class Network:
-    """Delays, and who cannot reach whom."""
+    """Network with random delays; pairs in ``cut`` cannot reach each other."""
 
     clock: FakeClock
     random: Random
@@ -151,7 +151,7 @@
     cut: set[frozenset[str]] = field(default_factory=set)
 
     def send(self, source: str, target: str, deliver: Callable[[], None]) -> None:
-        """Deliver after a delay unless the two are cut off from each other."""
+        """Deliver after a delay unless the two cannot reach each other."""
         if frozenset((source, target)) not in self.cut:
             self.clock.schedule(self.delay * self.random.uniform(0.8, 1.5), deliver)
 
@@ -168,8 +168,8 @@
 class ModelDaemon:
     """The decision pipelines of one daemon on the fake clock.
 
-    :param skew: seconds that its wall clock is ahead of the true time
-    :param policies: policies besides those of the product
+    :param skew: seconds by which its wall clock is ahead of the true time
+    :param policies: policies besides the built-in ones
     """
 
     def __init__(
@@ -232,13 +232,13 @@
         }
 
     def start(self, *, tick: float = TICK_SECONDS, poll: float | None = None) -> None:
-        """Begin ticking and, if ``poll`` seconds are given, reading the log."""
+        """Start the ticks and, if ``poll`` is given, read the log every ``poll`` seconds."""
         self.clock.repeat(tick, lambda: self.receive(self._tick))
         if poll is not None:
             self.clock.repeat(poll, lambda: self.receive(self.poll))
 
     def meet(self, others: list[ModelDaemon]) -> None:
-        """Make other daemons known."""
+        """Add other daemons as peers."""
         for other in others:
             if other.name != self.name:
                 self.peers[other.name] = other
@@ -258,7 +258,7 @@
         self.run_control(PublicationRead(now=self.clock.now, link=link))
 
     def receive(self, work: Callable[[], None]) -> None:
-        """Do work, later if frozen and never if dead."""
+        """Do work at once, after the freeze, or never if the daemon is dead."""
         if self.is_dead:
             return
         if self.is_frozen:
@@ -267,15 +267,15 @@
             work()
 
     def thaw(self) -> None:
-        """Go on after a freeze, first with what arrived meanwhile."""
+        """End a freeze and process what arrived during it."""
         self.is_frozen = False
         while self._inbox and not self.is_frozen:
             self._inbox.popleft()()
 
     def call(self, call_fields: dict[str, Any], attempt: str, reply: Reply) -> int:
-        """Take a request from a caller or peer.
+        """Accept a request from a caller or a peer.
 
-        :returns: its call id here
+        :returns: its call id on this daemon
         """
         self._next_id += 1
         call = Call(id=self._next_id, **call_fields)
@@ -284,15 +284,15 @@
         return call.id
 
     def leave(self, call_id: int) -> None:
-        """Note that the caller left."""
+        """Note that the caller disconnected."""
         self._run(messages.CallerDisconnected(now=self.clock.now, call_id=call_id))
 
     def wall(self) -> float:
-        """Read this daemon's wall clock."""
+        """Return the time of this daemon's wall clock."""
         return self.clock.now + self.skew
 
     def poll(self) -> None:
-        """Read the log and let leases become due."""
+        """Read the log, then run the control tick."""
         if not self.log.is_down:
             self._read_log()
         self.run_control(ControlTicked(now=self.clock.now, wall=self.wall()))
@@ -372,7 +372,7 @@
                         status=200,
                         ran=ran,
                         report=report,
-                        stored_answer="kept",
+                        stored_answer="answer",
                     ),
                 )
 
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/platform.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/platform.py
@@ -20,13 +20,13 @@
 
 @dataclass(kw_only=True)
 class LogFaults:
-    """Ways in which the log misbehaves, set with ``POST /faults``.
+    """Faults that the log simulates, set with ``POST /faults``.
 
     :param down: whether every request fails
-    :param delay: seconds by which every answer is late
-    :param lose_answers: appends that take effect but are answered with a failure
-    :param lose_appends: appends that fail without effect
-    :param retention: seconds for which records are kept
+    :param delay: seconds by which every answer is delayed
+    :param lose_answers: number of appends that take effect but are answered with a failure
+    :param lose_appends: number of appends that fail without effect
+    :param retention: seconds for which records are retained
     """
 
     down: bool = False
@@ -101,7 +101,7 @@
 
 @dataclass(kw_only=True)
 class VmListStandIn:
-    """List of live and leaving VMs that lags behind what was set.
+    """List of live and leaving VMs whose updates become visible after a lag.
 
     ``POST /vms`` sets the list; ``POST /faults`` sets ``lag`` (seconds) and ``down``.
     """
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/policies.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/policies.py
@@ -53,7 +53,7 @@
 
 
 def find_mean(figures: list[Figures], name: str, **chosen: object) -> float | None:
-    """Find the mean of one figure over the seeds of one plan."""
+    """Compute the mean of one figure over the experiments with the chosen plan."""
     values = [
         getattr(each, name)
         for each in figures
@@ -64,7 +64,7 @@
 
 
 def write_table(figures: list[Figures]) -> list[str]:
-    """Write the comparison as lines of Markdown."""
+    """Format the comparison as lines of Markdown."""
     lines = ["# Policies compared on the decision core", ""]
     lines.append(f"Seeds {SEEDS}; p99 of short requests in ms; mean over the seeds.")
     for user in SIZES:
@@ -116,7 +116,7 @@
 
 
 def draw_plot(figures: list[Figures], path: Path) -> None:
-    """Draw the tail of each policy over the load."""
+    """Plot the tail latency of each policy over the load."""
     from matplotlib import pyplot
 
     chart, axes = pyplot.subplots(1, len(SIZES), figsize=(11, 4.5), sharey=True)
@@ -135,7 +135,7 @@
 
 
 def main() -> int:
-    """Run the comparison and keep its figures."""
+    """Run the comparison, then print and write its figures."""
     started = time.monotonic()
     plans = list_plans()
     print(f"{len(plans)} experiments, seeds {SEEDS}", flush=True)
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/processes.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/processes.py
@@ -1,4 +1,4 @@
-"""Measures the real processes on loopback: added time, calls per core, control cost."""
+"""Measures real processes on loopback: added latency, calls per core, control cost."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CallFigures:
-    """Figures of one way to a backend server; times in milliseconds.
+    """Figures of one path to a backend server; times in milliseconds.
 
     :param cpu_us: processor microseconds per call over all daemons
     """
@@ -56,7 +56,7 @@
 
 
 def start_fleet(*, daemons: int, servers: int, log_level: str = "info") -> Fleet:
-    """Start a fleet with one service whose reads take no time."""
+    """Start a fleet with one service and wait until it serves."""
     fleet = Fleet()
     fleet.start_platform()
     for number in range(servers):
@@ -88,7 +88,7 @@
 
 
 def call_in_turn(address: str, request: bytes, *, calls: int, seconds: float) -> list[float]:
-    """Call over one connection, one after the other; returns milliseconds."""
+    """Make calls one after the other over one connection; returns milliseconds."""
     host, port = address.split(":")
     times: list[float] = []
     with socket.create_connection((host, int(port))) as sock:
@@ -121,7 +121,7 @@
 
 
 def measure_way(fleet: Fleet, way: str, address: str, request: bytes) -> CallFigures:
-    """Measure the time of single calls, then calls per second with several callers."""
+    """Measure the latency of single calls, then calls per second with several callers."""
     times = call_in_turn(address, request, calls=LATENCY_CALLS, seconds=20)
     quantiles = statistics.quantiles(times, n=100)
     pids = [each.popen.pid for each in fleet.daemons.values() if each.popen is not None]
@@ -150,7 +150,7 @@
 
 
 def measure_calls(*, log_level: str) -> list[CallFigures]:
-    """Measure calls direct, through the owner and through another daemon."""
+    """Measure direct calls, calls through the owner and through another daemon."""
     fleet = start_fleet(daemons=2, servers=2, log_level=log_level)
     request = b"GET /r/1?ms=0 HTTP/1.1\r\nHost: s\r\n\r\n"
     try:
@@ -175,7 +175,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class IdleFigures:
-    """Control cost of one daemon that serves nobody.
+    """Control cost of one idle daemon.
 
     :param core_share: processor seconds per second
     :param bytes_per_second: control bytes sent, log and VM list included
@@ -189,7 +189,7 @@
 
 
 def measure_idle(daemons: int) -> IdleFigures:
-    """Measure what a daemon spends when nobody calls."""
+    """Measure the cost of a daemon without calls."""
     fleet = start_fleet(daemons=daemons, servers=1)
     try:
         time.sleep(12)
@@ -211,7 +211,7 @@
 
 
 def main() -> int:
-    """Measure, print and keep the figures."""
+    """Measure, print and write the figures."""
     lines = ["# The real processes on loopback", ""]
     document: dict[str, list] = {}
     for log_level in ("info", "warning"):
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/serving.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/serving.py
@@ -1,4 +1,4 @@
-"""The loop that the stand-ins run on."""
+"""HTTP serving and the event loop of the stand-ins."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def build_loop() -> tuple[Component, StreamService, TimerService]:
-    """Build the loop that a stand-in process runs."""
+    """Build the event loop of a stand-in process."""
     root = Component()
     timers = TimerService()
     poller = DirectPoller(timers=timers)
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/slopes.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/slopes.py
@@ -1,4 +1,4 @@
-"""Measures how the cost of a daemon grows with what drives it."""
+"""Measures how a daemon's costs grow with services, keys, leases, bodies and daemons."""
 
 from __future__ import annotations
 
@@ -36,9 +36,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Slope:
-    """A straight line through measured points.
+    """A line fitted to measured points.
 
-    :param driver: what grows
+    :param driver: quantity that is varied
     :param per_unit: growth of the cost per unit of the driver
     :param base: cost where the driver is zero
     :param fit: coefficient of determination, 1 for a straight line
@@ -53,7 +53,7 @@
 
 
 def fit_line(cost: str, driver: str, points: list[tuple[float, float]]) -> Slope:
-    """Fit a line through points of driver and cost."""
+    """Fit a line to points of driver and cost."""
     drivers = np.array([point[0] for point in points], dtype=float)
     costs = np.array([point[1] for point in points], dtype=float)
     slope, base = np.polyfit(drivers, costs, 1)
@@ -71,7 +71,7 @@
 
 
 def build_model(services: int) -> ConfigurationModel:
-    """Build a configuration of a size."""
+    """Build a configuration with a number of services."""
     return declare(
         *(
             service(
@@ -89,7 +89,7 @@
 
 
 def measure_peak(build: Callable[[], object]) -> tuple[float, float]:
-    """Measure the bytes that a built object keeps, and the seconds to build it."""
+    """Measure the bytes that a built object occupies and the seconds to build it."""
     tracemalloc.start()
     started = time.perf_counter()
     kept = build()
@@ -101,7 +101,7 @@
 
 
 def measure_configuration() -> list[Slope]:
-    """Measure a change of the configuration over the number of services."""
+    """Measure the cost of a configuration change over the number of services."""
     sizes: list[tuple[float, float]] = []
     times: list[tuple[float, float]] = []
     memory: list[tuple[float, float]] = []
@@ -147,7 +147,7 @@
 
 
 def measure_keys() -> Slope:
-    """Measure the memory of keys held."""
+    """Measure the memory of the table of keys over their number."""
     points = []
     for count in (10_000, 30_000, 100_000):
 
@@ -165,7 +165,7 @@
 
 
 def measure_grants() -> Slope:
-    """Measure the bytes of one renewal record over the leases in it."""
+    """Measure the bytes of a renewal record over the number of its leases."""
     points = []
     for count in (1, 10, 40):
         grants = [
@@ -186,7 +186,7 @@
 
 
 def measure_handing() -> Slope:
-    """Measure the bytes of a handed call over its body."""
+    """Measure the bytes of a forwarded call over the size of its body."""
     points = []
     for size in (0, 1000, 10_000):
         message = HandedCall(
@@ -225,7 +225,7 @@
 
 
 def main() -> int:
-    """Measure every slope, print it with its fit, and keep it."""
+    """Measure, print and write every slope with its fit."""
     slopes = [*measure_configuration(), measure_keys(), measure_grants(), measure_handing()]
     slopes += measure_daemons()
     calls = measure_calls(log_level="warning")
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/stand_ins.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/stand_ins.py
@@ -1,4 +1,4 @@
-"""Command that runs one stand-in as a process of its own."""
+"""Command that runs one stand-in as a process."""
 
 from __future__ import annotations
 
