--- a/packages/dotterelgate-bench/src/dotterelgate_bench/backend.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/backend.py
@@ -21,8 +21,8 @@
 
 __all__ = ["BackendFaults", "BackendStandIn"]
 
-PROBE_SECONDS = 0.006
-CONNECTION_SECONDS = 0.001
+PROBE_WORK_SECONDS = 0.006
+NEW_CONNECTION_SECONDS = 0.001
 NOT_RUN = (b"request-outcome", b"not-run")
 
 
@@ -77,8 +77,8 @@
     def __post_init__(self) -> None:
         self._random = Random(self.seed)
         self._started = time.monotonic()
-        self._served: set[int] = set()
-        self._stand_in = HttpServer(streams=self.streams, address=self.address, answer=self._answer)
+        self._used_connections: set[int] = set()
+        self._server = HttpServer(streams=self.streams, address=self.address, answer=self._answer)
 
     def _answer(self, request: HttpRequest) -> None:
         if request.path == "/_faults":
@@ -86,51 +86,51 @@
                 setattr(self.faults, name, value)
             answer_json(request, self.faults.__dict__)
         elif request.path == "/_ledger":
-            totals = {"probes": self.probes, "connections": self._stand_in.accepted}
+            totals = {"probes": self.probes, "connections": self._server.accepted}
             answer_json(request, {"name": self.name, "ran": self.ledger, **totals})
         elif request.path == "/_probe":
             self._probe(request)
         else:
-            self._take(request)
+            self._handle_request(request)
 
     def _probe(self, request: HttpRequest) -> None:
         def start() -> None:
             if self._is_too_late(request, time.monotonic()):
-                request.answer(503, b"", [*self._report(), NOT_RUN])
-                self._next()
+                request.answer(503, b"", [*self._build_report(), NOT_RUN])
+                self._start_next()
                 return
-            seconds = PROBE_SECONDS + self._charge_connection(request)
+            seconds = PROBE_WORK_SECONDS + self._charge_connection(request)
             self.probes.append((time.time(), seconds))
             self.timers.call_after(delay=seconds, call=finish)
 
         def finish() -> None:
-            request.answer(200, b"", self._report())
-            self._next()
+            request.answer(200, b"", self._build_report())
+            self._start_next()
 
-        self._enter(start)
+        self._start_or_queue(start)
 
-    def _take(self, request: HttpRequest) -> None:
+    def _handle_request(self, request: HttpRequest) -> None:
         if self.faults.shed:
-            request.answer(503, b"", [*self._report(), NOT_RUN])
+            request.answer(503, b"", [*self._build_report(), NOT_RUN])
             return
-        is_live = [True]
+        is_wanted = [True]
 
-        def leave() -> None:
-            is_live[0] = False
+        def note_disconnect() -> None:
+            is_wanted[0] = False
 
-        request.on_disconnect = leave
+        request.on_disconnect = note_disconnect
         arrived = time.monotonic()
 
         def start() -> None:
-            if not is_live[0]:
-                self._next()
+            if not is_wanted[0]:
+                self._start_next()
             elif self._is_too_late(request, arrived):
-                request.answer(503, b"", [*self._report(), NOT_RUN])
-                self._next()
+                request.answer(503, b"", [*self._build_report(), NOT_RUN])
+                self._start_next()
             else:
                 self._run(request)
 
-        self._enter(start)
+        self._start_or_queue(start)
 
     def _is_too_late(self, request: HttpRequest, arrived: float) -> bool:
         fence = request.find_header(b"request-not-after")
@@ -153,8 +153,8 @@
         seconds = self._draw_seconds(request)
 
         def finish() -> None:
-            self._reply(request)
-            self._next()
+            self._send_answer(request)
+            self._start_next()
 
         self.timers.call_after(delay=seconds, call=finish)
 
@@ -169,7 +169,7 @@
         seconds += self._charge_connection(request)
         return seconds * self.faults.slow
 
-    def _enter(self, start: Callable[[], None]) -> None:
+    def _start_or_queue(self, start: Callable[[], None]) -> None:
         if self.busy < self.slots:
             self.busy += 1
             start()
@@ -177,29 +177,29 @@
             self.waiting.append(start)
 
     def _charge_connection(self, request: HttpRequest) -> float:
-        if id(request.connection) in self._served:
+        if id(request.connection) in self._used_connections:
             return 0.0
-        self._served.add(id(request.connection))
-        return CONNECTION_SECONDS
+        self._used_connections.add(id(request.connection))
+        return NEW_CONNECTION_SECONDS
 
-    def _next(self) -> None:
+    def _start_next(self) -> None:
         self.busy -= 1
         if self.waiting:
             self.busy += 1
             self.waiting.popleft()()
 
-    def _report(self) -> list[tuple[bytes, bytes]]:
+    def _build_report(self) -> list[tuple[bytes, bytes]]:
         headers = [(b"server-in-flight", b"%d" % (self.busy + len(self.waiting)))]
         if self.faults.draining:
             headers.append((b"server-state", b"draining"))
         return headers
 
-    def _reply(self, request: HttpRequest) -> None:
+    def _send_answer(self, request: HttpRequest) -> None:
         size = int(request.query.get("bytes", "0"))
         body = self._build_body(request, size)
-        if self._misbehave(request, body):
+        if self._apply_fault(request, body):
             return
-        request.answer(200, body, [*self._report(), (b"content-type", b"application/json")])
+        request.answer(200, body, [*self._build_report(), (b"content-type", b"application/json")])
 
     def _build_body(self, request: HttpRequest, size: int) -> bytes:
         document = {
@@ -212,7 +212,7 @@
         body = json.dumps(document).encode("utf-8")
         return body + b"." * max(0, size - len(body))
 
-    def _misbehave(self, request: HttpRequest, body: bytes) -> bool:
+    def _apply_fault(self, request: HttpRequest, body: bytes) -> bool:
         faults = self.faults
         connection = request.connection
         head = encode_answer_head(200, [(b"content-length", b"%d" % len(body))])
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/clock.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/clock.py
@@ -21,25 +21,25 @@
     """
 
     now: float = 0.0
-    _due: list[tuple[float, int, Callable[[], None]]] = field(default_factory=list)
-    _order: Iterator[int] = field(default_factory=itertools.count)
+    _queue: list[tuple[float, int, Callable[[], None]]] = field(default_factory=list)
+    _sequence: Iterator[int] = field(default_factory=itertools.count)
 
     def schedule(self, delay: float, call: Callable[[], None]) -> None:
         """Run a function after ``delay`` seconds."""
-        heapq.heappush(self._due, (self.now + delay, next(self._order), call))
+        heapq.heappush(self._queue, (self.now + delay, next(self._sequence), call))
 
     def repeat(self, interval: float, call: Callable[[], None]) -> None:
         """Run a function every ``interval`` seconds."""
 
-        def again() -> None:
+        def run() -> None:
             call()
-            self.schedule(interval, again)
+            self.schedule(interval, run)
 
-        self.schedule(interval, again)
+        self.schedule(interval, run)
 
     def run_until(self, end: float) -> None:
         """Run everything that is due up to ``end`` and advance to it."""
-        while self._due and self._due[0][0] <= end:
-            self.now, _, call = heapq.heappop(self._due)
+        while self._queue and self._queue[0][0] <= end:
+            self.now, _, call = heapq.heappop(self._queue)
             call()
         self.now = end
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/demo.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/demo.py
@@ -54,14 +54,14 @@
 class Tally:
     """Count of the answers through one daemon."""
 
-    whole: int = 0
+    right: int = 0
     wrong: int = 0
     latencies_ms: list[float] = field(default_factory=list)
     servers: dict[str, int] = field(default_factory=dict)
 
     def note(self, answer: httpx.Response, seconds: float, *, is_right: bool) -> None:
         """Count an answer."""
-        self.whole += is_right
+        self.right += is_right
         self.wrong += not is_right
         self.latencies_ms.append(seconds * 1000)
         server = answer.headers.get("dotterelgate-server", "none")
@@ -96,9 +96,9 @@
     wrong = sum(tally.wrong for tally in tallies.values())
     print(f"\nrepeated order through another daemon: {repeat}")
     print(f"orders {len(keys)}, run twice {len(doubled)}, lost {len(lost)}, wrong answers {wrong}")
-    is_good = not (doubled or lost or wrong) and repeat == "same answer"
-    print("demo passed" if is_good else "demo FAILED")
-    return 0 if is_good else 1
+    passed = not (doubled or lost or wrong) and repeat == "same answer"
+    print("demo passed" if passed else "demo FAILED")
+    return 0 if passed else 1
 
 
 def _start(fleet: Fleet) -> None:
@@ -125,11 +125,11 @@
     document = fleet.folder / "configuration.json"
     document.write_text(printed.stdout, encoding="utf-8")
     assert fleet.log is not None
-    words: list[str | Path] = [command, "publish", document, "--log", fleet.log.address, "--wait"]
+    args: list[str | Path] = [command, "publish", document, "--log", fleet.log.address, "--wait"]
     for name in DAEMONS:
-        words += ["--daemon", fleet.daemons[name].endpoint]
+        args += ["--daemon", fleet.daemons[name].endpoint]
     started = time.monotonic()
-    published = subprocess.run(words, check=True, capture_output=True, text=True)
+    published = subprocess.run(args, check=True, capture_output=True, text=True)
     print(f"dotterelgate publish: {published.stdout.strip()} ({time.monotonic() - started:.2f} s)")
 
 
@@ -186,7 +186,7 @@
         quantiles = statistics.quantiles(tally.latencies_ms, n=100)
         sent = ", ".join(f"{server} {count}" for server, count in sorted(tally.servers.items()))
         print(
-            f"{name:<9}{status.get('revision', 'none'):>9}{tally.whole:>7}{tally.wrong:>7}"
+            f"{name:<9}{status.get('revision', 'none'):>9}{tally.right:>7}{tally.wrong:>7}"
             f"{quantiles[49]:>8.1f}{quantiles[98]:>8.1f}  {sent}"
         )
     print(f"\n{'backend server':<16}{'ran':>6}{'connections':>13}")
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/experiment.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/experiment.py
@@ -19,8 +19,8 @@
 
 __all__ = ["POLICIES", "SIZES", "Experiment", "Figures", "Plan", "Size", "run_experiment"]
 
-MEAN_SECONDS = 0.02
-SPREAD = 0.5
+MEAN_WORK_SECONDS = 0.02
+SIGMA = 0.5
 STRAGGLER_FACTOR = 25.0
 NOISE_FACTOR = 3.0
 NOISE_SECONDS = 0.2
@@ -119,8 +119,8 @@
     plan: Plan
     clock: FakeClock = field(default_factory=FakeClock)
     results: list[_Result] = field(default_factory=list)
-    factors: dict[int, float] = field(default_factory=dict)
-    works: dict[str, float] = field(default_factory=dict)
+    slowdowns: dict[int, float] = field(default_factory=dict)
+    work_seconds: dict[str, float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.random = Random(self.plan.seed)
@@ -142,9 +142,9 @@
         pool = []
         for each in range(count):
             name = f"server-{number}-{each}"
-            server = ModelServer(clock=self.clock, slots=self.size.slots, draw=self._draw)
+            server = ModelServer(clock=self.clock, slots=self.size.slots, draw=self._draw_seconds)
             self.servers[name] = server
-            self.factors[id(server)] = 1.0
+            self.slowdowns[id(server)] = 1.0
             if self.plan.noise:
                 self._schedule_noise(server)
             pool.append(
@@ -167,7 +167,7 @@
     def _build_daemons(self, configuration: Configuration) -> list[ModelDaemon]:
         count = 1 if self.plan.policy == ORACLE else self.size.daemons
         network = Network(clock=self.clock, random=self.random)
-        oracle = Policy(name=ORACLE, owned=False, late=True, choose=self._choose_truly)
+        oracle = Policy(name=ORACLE, owned=False, late=True, choose=self._choose_fastest)
         daemons = [
             ModelDaemon(
                 name=f"entry-{number}",
@@ -187,30 +187,30 @@
             daemon.start()
         return daemons
 
-    def _choose_truly(self, states, *_):  # type: ignore[no-untyped-def]
-        def find_speed(state):  # type: ignore[no-untyped-def]
+    def _choose_fastest(self, states, *_):  # type: ignore[no-untyped-def]
+        def rank(state):  # type: ignore[no-untyped-def]
             server = self.servers[state.server.name]
-            return self.factors[id(server)], state.in_flight
+            return self.slowdowns[id(server)], state.in_flight
 
-        return min(states, key=find_speed)
+        return min(states, key=rank)
 
     def _schedule_noise(self, server: ModelServer) -> None:
         def begin() -> None:
-            self.factors[id(server)] = NOISE_FACTOR
+            self.slowdowns[id(server)] = NOISE_FACTOR
             self.clock.schedule(self.random.expovariate(1 / NOISE_SECONDS), end)
 
         def end() -> None:
-            self.factors[id(server)] = 1.0
+            self.slowdowns[id(server)] = 1.0
             self.clock.schedule(self.random.expovariate(1 / QUIET_SECONDS), begin)
 
         self.clock.schedule(self.random.expovariate(1 / QUIET_SECONDS), begin)
 
-    def _draw(self, server: ModelServer, call: Call) -> float:
-        return self.works[call.method] * self.factors[id(server)]
+    def _draw_seconds(self, server: ModelServer, call: Call) -> float:
+        return self.work_seconds[call.method] * self.slowdowns[id(server)]
 
     def _schedule_arrivals(self, number: int, service: Service) -> None:
         slots = sum(server.slots for server in service.servers)
-        rate = self.plan.load * slots / self.mean_work()
+        rate = self.plan.load * slots / self.compute_mean_work()
         count = 0
 
         def arrive() -> None:
@@ -219,18 +219,18 @@
                 return
             count += 1
             self._send(number, f"{number}.{count}")
-            self.clock.schedule(self.random.expovariate(rate * self._find_swing()), arrive)
+            self.clock.schedule(self.random.expovariate(rate * self._find_rate_factor()), arrive)
 
         self.clock.schedule(self.random.expovariate(rate), arrive)
 
-    def mean_work(self) -> float:
+    def compute_mean_work(self) -> float:
         """Compute the mean slot seconds of a request, noise included."""
         noisy = NOISE_SECONDS / (NOISE_SECONDS + QUIET_SECONDS) if self.plan.noise else 0.0
         long = self.plan.stragglers + self.plan.long_share
-        mean = MEAN_SECONDS * (1 + long * (STRAGGLER_FACTOR - 1))
+        mean = MEAN_WORK_SECONDS * (1 + long * (STRAGGLER_FACTOR - 1))
         return mean * (1 + noisy * (NOISE_FACTOR - 1))
 
-    def _find_swing(self) -> float:
+    def _find_rate_factor(self) -> float:
         if not self.plan.crest:
             return 1.0
         begin, end = find_crest(self.plan)
@@ -238,14 +238,14 @@
 
     def _send(self, number: int, request: str) -> None:
         is_long = self.random.random() < self.plan.long_share
-        work = MEAN_SECONDS * self.random.lognormvariate(-SPREAD * SPREAD / 2, SPREAD)
+        work = MEAN_WORK_SECONDS * self.random.lognormvariate(-SIGMA * SIGMA / 2, SIGMA)
         if is_long or self.random.random() < self.plan.stragglers:
             work *= STRAGGLER_FACTOR
-        # The method carries the request's name, by which _draw finds its work.
-        self.works[request] = work
+        # The method carries the request's name, by which _draw_seconds finds its work.
+        self.work_seconds[request] = work
         arrived = self.clock.now
 
-        def reply(refusal: Refusal | None, _kept: object | None) -> None:
+        def reply(refusal: Refusal | None, _stored_answer: object | None) -> None:
             result = _Result(
                 arrived=arrived,
                 ended=self.clock.now,
@@ -270,13 +270,15 @@
     """Run one experiment and compute its figures."""
     experiment = Experiment(plan=plan)
     experiment.run()
-    late = [each for each in experiment.results if each.arrived >= WARM_UP_SECONDS]
-    short = [each for each in late if not (each.is_long or each.is_refused)]
+    measured = [each for each in experiment.results if each.arrived >= WARM_UP_SECONDS]
+    short = [each for each in measured if not (each.is_long or each.is_refused)]
     short_ms = [(each.ended - each.arrived) * 1000 for each in short if _is_short(each)]
     long_ms = [
-        (each.ended - each.arrived) * 1000 for each in late if each.is_long and not each.is_refused
+        (each.ended - each.arrived) * 1000
+        for each in measured
+        if each.is_long and not each.is_refused
     ]
-    refused = [each for each in late if each.is_refused]
+    refused = [each for each in measured if each.is_refused]
     figures = Figures(
         plan=asdict(plan),
         answered=len(short),
@@ -288,45 +290,45 @@
         decisions=sum(daemon.decisions for daemon in experiment.daemons),
     )
     if plan.crest:
-        _add_crest(figures, experiment, late)
+        _add_crest_figures(figures, experiment, measured)
     return figures
 
 
 def _is_short(result: _Result) -> bool:
-    return result.work < MEAN_SECONDS * STRAGGLER_FACTOR / 4
+    return result.work < MEAN_WORK_SECONDS * STRAGGLER_FACTOR / 4
 
 
-def _add_crest(figures: Figures, experiment: Experiment, late: list[_Result]) -> None:
+def _add_crest_figures(figures: Figures, experiment: Experiment, measured: list[_Result]) -> None:
     begin, end = find_crest(experiment.plan)
     slots = sum(server.slots for server in experiment.servers.values())
-    useful = sum(
-        each.work for each in late if not each.is_refused and begin + 0.2 <= each.ended < end
+    useful_seconds = sum(
+        each.work for each in measured if not each.is_refused and begin + 0.2 <= each.ended < end
     )
-    noise = experiment.mean_work() / (
-        MEAN_SECONDS * (1 + experiment.plan.stragglers * (STRAGGLER_FACTOR - 1))
+    noise_factor = experiment.compute_mean_work() / (
+        MEAN_WORK_SECONDS * (1 + experiment.plan.stragglers * (STRAGGLER_FACTOR - 1))
     )
-    figures.useful_share = useful * noise / (slots * (end - begin - 0.2))
-    refusals = [(each.ended - each.arrived) * 1000 for each in late if each.is_refused]
+    figures.useful_share = useful_seconds * noise_factor / (slots * (end - begin - 0.2))
+    refusals = [(each.ended - each.arrived) * 1000 for each in measured if each.is_refused]
     figures.refusal_ms = float(np.percentile(refusals, 99)) if refusals else None
-    figures.recovery_s = _find_recovery(late, begin, end)
+    figures.recovery_s = _find_recovery(measured, begin, end)
 
 
-def _find_recovery(late: list[_Result], begin: float, end: float) -> float:
+def _find_recovery(measured: list[_Result], begin: float, end: float) -> float:
     before = [
         each.ended - each.arrived
-        for each in late
+        for each in measured
         if each.arrived < begin and not each.is_refused and _is_short(each)
     ]
-    normal = float(np.percentile(before, 99))
+    normal_p99 = float(np.percentile(before, 99))
     step = 0.1
-    at = end
-    while at < end + 3.0:
-        window = [each for each in late if at <= each.arrived < at + 0.3]
+    window_start = end
+    while window_start < end + 3.0:
+        window = [each for each in measured if window_start <= each.arrived < window_start + 0.3]
         slow = sum(
-            each.is_refused or (_is_short(each) and each.ended - each.arrived > normal)
+            each.is_refused or (_is_short(each) and each.ended - each.arrived > normal_p99)
             for each in window
         )
         if window and slow <= max(1, len(window) * 0.03):
-            return at - end
-        at += step
-    return at - end
+            return window_start - end
+        window_start += step
+    return window_start - end
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/fleet.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/fleet.py
@@ -27,7 +27,7 @@
 STOP_SECONDS = 5.0
 POLL_SECONDS = 0.02
 LOWEST_PORT, HIGHEST_PORT = 12_000, 32_000
-RESERVING_HOST = "127.9.9.9"
+RESERVATION_HOST = "127.9.9.9"
 
 _reservations: list[socket.socket] = []
 
@@ -70,13 +70,13 @@
 
     :returns: whether it was not reserved yet
     """
-    holder = socket.socket()
+    reservation = socket.socket()
     try:
-        holder.bind((RESERVING_HOST, port))
+        reservation.bind((RESERVATION_HOST, port))
     except OSError:
-        holder.close()
+        reservation.close()
         return False
-    _reservations.append(holder)
+    _reservations.append(reservation)
     return True
 
 
@@ -142,7 +142,7 @@
     vms: Process | None = None
     daemons: dict[str, Process] = field(default_factory=dict)
     servers: dict[str, Process] = field(default_factory=dict)
-    listed: dict[str, dict] = field(default_factory=dict)
+    vm_entries: dict[str, dict] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.client = httpx.Client(timeout=10, trust_env=False)
@@ -156,8 +156,8 @@
 
     def start_server(self, name: str, **options: Any) -> Process:
         """Start a backend server; the options are those of the stand-in's command."""
-        words = [f"--{key.replace('_', '-')}={value}" for key, value in options.items()]
-        process = self._start_stand_in(name, "server", name, *words)
+        flags = [f"--{key.replace('_', '-')}={value}" for key, value in options.items()]
+        process = self._start_stand_in(name, "server", name, *flags)
         self.servers[name] = process
         self.list_vm(name, role="server")
         return process
@@ -166,15 +166,15 @@
         self, name: str, *, zone: str = "zone-1", log_level: str = "info", **settings: Any
     ) -> Process:
         """Start a daemon; further settings override the defaults."""
-        old = self.daemons.get(name)
+        previous = self.daemons.get(name)
         document = {
             "name": name,
             "zone": zone,
-            "callers": old.address if old else find_free_address(),
-            "peers": old.peers if old else find_free_address(),
-            "endpoint": old.endpoint if old else find_free_address(),
-            "log": self._need(self.log).address,
-            "vms": self._need(self.vms).address,
+            "callers": previous.address if previous else find_free_address(),
+            "peers": previous.peers if previous else find_free_address(),
+            "endpoint": previous.endpoint if previous else find_free_address(),
+            "log": self._require(self.log).address,
+            "vms": self._require(self.vms).address,
             "log_poll": 0.1,
             "vms_poll": 0.2,
             **settings,
@@ -203,12 +203,12 @@
 
     def list_vm(self, name: str, *, role: str, address: str = "", state: str = "live") -> None:
         """Add or replace a VM in the platform's list."""
-        self.listed[name] = {"name": name, "role": role, "address": address, "state": state}
+        self.vm_entries[name] = {"name": name, "role": role, "address": address, "state": state}
         self._post_vms()
 
     def set_vm_state(self, name: str, state: str) -> None:
         """Set the state of a VM in the platform's list."""
-        self.listed[name]["state"] = state
+        self.vm_entries[name]["state"] = state
         self._post_vms()
 
     def set_faults(self, process: Process, **faults: Any) -> None:
@@ -266,21 +266,21 @@
             process.kill()
         self.client.close()
 
-    def _start_stand_in(self, name: str, kind: str, *words: str) -> Process:
+    def _start_stand_in(self, name: str, kind: str, *options: str) -> Process:
         address = find_free_address()
         arguments = [sys.executable, "-m", "dotterelgate_bench.stand_ins", kind]
         process = Process(
             name=name,
             address=address,
-            arguments=[*arguments, f"--address={address}", *words],
+            arguments=[*arguments, f"--address={address}", *options],
             log_path=self.folder / f"{name}.log",
         )
         process.start()
         return process
 
     def _post_vms(self) -> None:
-        document = {"vms": list(self.listed.values())}
-        address = self._need(self.vms).address
+        document = {"vms": list(self.vm_entries.values())}
+        address = self._require(self.vms).address
         self.client.post(f"http://{address}/vms", json=document).raise_for_status()
 
     def _wait_for_port(self, process: Process) -> None:
@@ -295,6 +295,6 @@
         wait_until(accepts, seconds=START_SECONDS, what=f"{process.name} accepts connections")
 
     @staticmethod
-    def _need(process: Process | None) -> Process:
+    def _require(process: Process | None) -> Process:
         assert process is not None, "start_platform comes first"
         return process
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/model.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/model.py
@@ -39,7 +39,7 @@
 __all__ = ["ModelDaemon", "ModelLog", "ModelServer", "Network", "Run"]
 
 TICK_SECONDS = 0.02
-SILENT_SECONDS = 0.8
+SILENCE_SECONDS = 0.8
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -72,18 +72,18 @@
         self, call: Call, fence: float | None, attempt: str, done: Callable[[bool], None]
     ) -> Callable[[], None]:
         """Start or queue a request; ``done`` gets whether it ran. Returns its cancel function."""
-        is_live = [True]
+        is_wanted = [True]
 
         def cancel() -> None:
-            is_live[0] = False
+            is_wanted[0] = False
 
         def start() -> None:
-            if not is_live[0]:
-                self._next()
+            if not is_wanted[0]:
+                self._start_next()
                 return
             if self.heeds_fence and fence is not None and self.clock.now > fence:
                 done(False)
-                self._next()
+                self._start_next()
                 return
             self.ledger.append(Run(at=self.clock.now, key=call.key, attempt=attempt))
             seconds = self.draw(self, call)
@@ -92,12 +92,12 @@
 
         def finish() -> None:
             done(True)
-            self._next()
+            self._start_next()
 
-        self.enter(start)
+        self.start_or_queue(start)
         return cancel
 
-    def enter(self, start: Callable[[], None]) -> None:
+    def start_or_queue(self, start: Callable[[], None]) -> None:
         """Start now, or queue until a slot is free."""
         if self.busy < self.slots:
             self.busy += 1
@@ -105,13 +105,13 @@
         else:
             self.waiting.append(start)
 
-    def _next(self) -> None:
+    def _start_next(self) -> None:
         self.busy -= 1
         if self.waiting:
             self.busy += 1
             self.waiting.popleft()()
 
-    def count(self) -> int:
+    def count_requests(self) -> int:
         """Count the running and queued requests."""
         return self.busy + len(self.waiting)
 
@@ -227,7 +227,7 @@
             messages.Relay: lambda order: self._answer(order.call_id, None, "answer"),
             messages.Replay: lambda order: self._answer(order.call_id, None, order.stored_answer),
             messages.RefuseCall: self._refuse,
-            messages.ReleaseCall: self._end,
+            messages.ReleaseCall: self._release,
             AppendClaims: self._append_claims,
         }
 
@@ -283,7 +283,7 @@
         self._run(messages.CallArrived(now=self.clock.now, wall=self.wall(), call=call))
         return call.id
 
-    def leave(self, call_id: int) -> None:
+    def note_disconnect(self, call_id: int) -> None:
         """Note that the caller disconnected."""
         self._run(messages.CallerDisconnected(now=self.clock.now, call_id=call_id))
 
@@ -299,7 +299,7 @@
 
     def _tick(self) -> None:
         for name, peer in self.peers.items():
-            if not (peer.is_dead or peer.is_frozen or self._is_cut(peer)):
+            if not (peer.is_dead or peer.is_frozen or self._is_cut_off(peer)):
                 self.state.peers.note_heartbeat(name, peer.incarnation, self.clock.now)
         self._run(messages.Ticked(now=self.clock.now))
 
@@ -325,13 +325,13 @@
 
     def _run(self, message: Any) -> None:
         self.decisions += 1
-        self._carry_out(self._decide(message))
+        self._execute(self._decide(message))
 
     def run_control(self, message: Any) -> None:
         """Run a message through the control pipeline."""
-        self._carry_out(self._control(message))
+        self._execute(self._control(message))
 
-    def _carry_out(self, orders: Any) -> None:
+    def _execute(self, orders: Any) -> None:
         def act() -> None:
             for order in orders:
                 sink = self.sinks.get(type(order))
@@ -360,9 +360,9 @@
         cancelled = [False]
 
         def answer(ran: bool) -> None:
-            report = ServerReport(in_flight=server.count())
+            report = ServerReport(in_flight=server.count_requests())
             if not cancelled[0]:
-                self._hear(
+                self._receive_from(
                     name,
                     lambda: messages.ServerAnswered(
                         now=self.clock.now,
@@ -377,27 +377,27 @@
                 )
 
         def submit() -> None:
-            withdraw = server.submit(pending.call, order.fence, pending.attempt, answer)
+            cancel_on_server = server.submit(pending.call, order.fence, pending.attempt, answer)
 
             def cancel() -> None:
                 cancelled[0] = True
-                self.network.send(self.name, name, withdraw)
+                self.network.send(self.name, name, cancel_on_server)
 
             pending.cancel = cancel
 
         self.network.send(self.name, name, submit)
         self.clock.schedule(
-            order.deadline - self.clock.now + SILENT_SECONDS,
-            lambda: self.receive(lambda: self._lose(order.call_id, name)),
+            order.deadline - self.clock.now + SILENCE_SECONDS,
+            lambda: self.receive(lambda: self._note_lost_answer(order.call_id, name)),
         )
 
-    def _hear(self, source: str, build: Callable[[], Any]) -> None:
+    def _receive_from(self, source: str, build: Callable[[], Any]) -> None:
         def deliver() -> None:
             self.receive(lambda: self._run(build()))
 
         self.network.send(source, self.name, deliver)
 
-    def _lose(self, call_id: int, server: str) -> None:
+    def _note_lost_answer(self, call_id: int, server: str) -> None:
         call_state = self.state.calls.states.get(call_id)
         if call_state is None or call_state.server != server:
             return
@@ -440,34 +440,34 @@
                     stored_answer=stored_answer,
                 )
 
-            self._hear(order.peer, build)
+            self._receive_from(order.peer, build)
 
-        def take() -> None:
+        def accept() -> None:
             if peer.wall() <= order.expires + self.state.limits.clock_error:
-                note(peer.call(fields, pending.attempt, reply))
+                set_cancel(peer.call(fields, pending.attempt, reply))
 
-        def hand() -> None:
-            peer.receive(take)
+        def deliver() -> None:
+            peer.receive(accept)
 
-        def note(remote_id: int) -> None:
+        def set_cancel(remote_id: int) -> None:
             pending.cancel = lambda: self.network.send(
-                self.name, order.peer, lambda: peer.receive(lambda: peer.leave(remote_id))
+                self.name, order.peer, lambda: peer.receive(lambda: peer.note_disconnect(remote_id))
             )
 
-        def give_up() -> None:
-            if not answered[0] and (peer.is_dead or peer.is_frozen or self._is_cut(peer)):
+        def check_peer() -> None:
+            if not answered[0] and (peer.is_dead or peer.is_frozen or self._is_cut_off(peer)):
                 self._run(
                     messages.PeerFailed(
                         now=self.clock.now, call_id=order.call_id, peer=order.peer, sent=True
                     )
                 )
             elif not answered[0] and order.call_id in self.state.calls.states:
-                self.clock.schedule(SILENT_SECONDS, lambda: self.receive(give_up))
+                self.clock.schedule(SILENCE_SECONDS, lambda: self.receive(check_peer))
 
-        self.network.send(self.name, order.peer, hand)
-        self.clock.schedule(SILENT_SECONDS, lambda: self.receive(give_up))
+        self.network.send(self.name, order.peer, deliver)
+        self.clock.schedule(SILENCE_SECONDS, lambda: self.receive(check_peer))
 
-    def _is_cut(self, peer: ModelDaemon) -> bool:
+    def _is_cut_off(self, peer: ModelDaemon) -> bool:
         return frozenset((self.name, peer.name)) in self.network.cut
 
     def _cancel(self, order: messages.Cancel) -> None:
@@ -483,7 +483,7 @@
             del self._pending[order.call_id]
         pending.reply(order.refusal, None)
 
-    def _end(self, order: messages.ReleaseCall) -> None:
+    def _release(self, order: messages.ReleaseCall) -> None:
         self._pending.pop(order.call_id, None)
 
     def _answer(self, call_id: int, refusal: Refusal | None, stored_answer: object | None) -> None:
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/platform.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/platform.py
@@ -43,8 +43,8 @@
         self.faults = LogFaults()
         self._timers = timers
         self._records: deque[tuple[int, float, dict]] = deque()
-        self._next = 0
-        self._appends = 0
+        self._next_offset = 0
+        self._append_count = 0
         HttpServer(streams=streams, address=address, answer=self._answer)
 
     def _answer(self, request: HttpRequest) -> None:
@@ -52,7 +52,7 @@
             if request.head.method == "POST":
                 for name, value in json.loads(request.body).items():
                     setattr(self.faults, name, value)
-            answer_json(request, {**self.faults.__dict__, "appends": self._appends})
+            answer_json(request, {**self.faults.__dict__, "appends": self._append_count})
         elif self.faults.down:
             answer_json(request, {"error": "the log is down"}, status=503)
         elif self.faults.delay:
@@ -75,9 +75,9 @@
             self.faults.lose_appends -= 1
             answer_json(request, {"error": "not appended"}, status=503)
             return
-        offset = self._next
-        self._next += 1
-        self._appends += 1
+        offset = self._next_offset
+        self._next_offset += 1
+        self._append_count += 1
         self._records.append((offset, time.monotonic(), json.loads(request.body)))
         if self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
@@ -89,14 +89,14 @@
         expired = time.monotonic() - self.faults.retention
         while self._records and self._records[0][1] < expired:
             self._records.popleft()
-        oldest = self._records[0][0] if self._records else self._next
-        first = max(0, start - oldest)
+        oldest = self._records[0][0] if self._records else self._next_offset
+        skipped = max(0, start - oldest)
         entries = [
             {"offset": offset, "record": record}
-            for offset, _, record in list(self._records)[first : first + limit]
+            for offset, _, record in list(self._records)[skipped : skipped + limit]
         ]
-        after = oldest + first + len(entries) if entries else self._next
-        return {"entries": entries, "next": after, "oldest": oldest}
+        next_offset = oldest + skipped + len(entries) if entries else self._next_offset
+        return {"entries": entries, "next": next_offset, "oldest": oldest}
 
 
 @dataclass(kw_only=True)
@@ -127,8 +127,8 @@
         elif self.down:
             answer_json(request, {"error": "the list is down"}, status=503)
         else:
-            answer_json(request, {"vms": self._find_version()})
+            answer_json(request, {"vms": self._find_visible_vms()})
 
-    def _find_version(self) -> list[dict]:
-        seen = [vms for at, vms in self.versions if at <= time.monotonic() - self.lag]
-        return seen[-1] if seen else []
+    def _find_visible_vms(self) -> list[dict]:
+        visible = [vms for at, vms in self.versions if at <= time.monotonic() - self.lag]
+        return visible[-1] if visible else []
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/policies.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/policies.py
@@ -25,7 +25,7 @@
 SEEDS = (1, 2)
 WORKERS = 5
 CREST_LOAD = 0.5
-CREST_POLICIES = ("least_in_flight", "least_reported", "local_queue", "owner_queue", "oracle")
+SELECTED_POLICIES = ("least_in_flight", "least_reported", "local_queue", "owner_queue", "oracle")
 FOLDER = Path("docs/measurements")
 
 
@@ -36,7 +36,7 @@
         for seed in SEEDS:
             for policy in POLICIES:
                 plans += [Plan(user=user, policy=policy, load=load, seed=seed) for load in LOADS]
-            for policy in CREST_POLICIES:
+            for policy in SELECTED_POLICIES:
                 plans.append(Plan(user=user, policy=policy, load=CREST_LOAD, seed=seed, crest=True))
                 plans += [
                     Plan(
@@ -52,65 +52,65 @@
     return plans
 
 
-def find_mean(figures: list[Figures], name: str, **chosen: object) -> float | None:
+def find_mean(figures: list[Figures], name: str, **plan: object) -> float | None:
     """Compute the mean of one figure over the experiments with the chosen plan."""
     values = [
         getattr(each, name)
         for each in figures
-        if all(each.plan[key] == value for key, value in chosen.items())
+        if all(each.plan[key] == value for key, value in plan.items())
     ]
-    known = [value for value in values if value is not None]
-    return sum(known) / len(known) if known else None
+    present = [value for value in values if value is not None]
+    return sum(present) / len(present) if present else None
 
 
-def write_table(figures: list[Figures]) -> list[str]:
+def format_table(figures: list[Figures]) -> list[str]:
     """Format the comparison as lines of Markdown."""
     lines = ["# Policies compared on the decision core", ""]
     lines.append(f"Seeds {SEEDS}; p99 of short requests in ms; mean over the seeds.")
     for user in SIZES:
-        lines += _write_loads(figures, user)
-        lines += _write_stragglers(figures, user)
-        lines += _write_crest(figures, user)
+        lines += _format_loads(figures, user)
+        lines += _format_stragglers(figures, user)
+        lines += _format_crest(figures, user)
     return lines
 
 
-def _write_loads(figures: list[Figures], user: str) -> list[str]:
+def _format_loads(figures: list[Figures], user: str) -> list[str]:
     lines = ["", f"## {user}: load", "", "| policy | 0.5 | 0.7 | 0.85 | of the oracle at 0.7 |"]
     lines.append("|---|---|---|---|---|")
-    plain = {"user": user, "crest": False, "long_share": 0.0, "stragglers": 0.01}
-    best = find_mean(figures, "p99", policy="oracle", load=0.7, **plain) or 1.0
+    plan = {"user": user, "crest": False, "long_share": 0.0, "stragglers": 0.01}
+    oracle_mean = find_mean(figures, "p99", policy="oracle", load=0.7, **plan) or 1.0
     for policy in POLICIES:
-        means = [find_mean(figures, "p99", policy=policy, load=load, **plain) for load in LOADS]
+        means = [find_mean(figures, "p99", policy=policy, load=load, **plan) for load in LOADS]
         cells = " | ".join(f"{mean:.1f}" for mean in means if mean is not None)
-        lines.append(f"| {policy} | {cells} | {(means[1] or 0) / best:.2f} |")
+        lines.append(f"| {policy} | {cells} | {(means[1] or 0) / oracle_mean:.2f} |")
     return lines
 
 
-def _write_stragglers(figures: list[Figures], user: str) -> list[str]:
+def _format_stragglers(figures: list[Figures], user: str) -> list[str]:
     lines = ["", f"## {user}: known long work beside short work, load 0.7", ""]
     lines += ["| policy | none | 2% long | ratio |", "|---|---|---|---|"]
-    plain = {"user": user, "crest": False, "stragglers": 0.0, "load": 0.7}
-    for policy in CREST_POLICIES:
-        without = find_mean(figures, "p99", policy=policy, long_share=0.0, **plain) or 1.0
-        beside = find_mean(figures, "p99", policy=policy, long_share=0.02, **plain) or 0.0
-        lines.append(f"| {policy} | {without:.1f} | {beside:.1f} | {beside / without:.2f} |")
+    plan = {"user": user, "crest": False, "stragglers": 0.0, "load": 0.7}
+    for policy in SELECTED_POLICIES:
+        alone = find_mean(figures, "p99", policy=policy, long_share=0.0, **plan) or 1.0
+        mixed = find_mean(figures, "p99", policy=policy, long_share=0.02, **plan) or 0.0
+        lines.append(f"| {policy} | {alone:.1f} | {mixed:.1f} | {mixed / alone:.2f} |")
     return lines
 
 
-def _write_crest(figures: list[Figures], user: str) -> list[str]:
+def _format_crest(figures: list[Figures], user: str) -> list[str]:
     lines = ["", f"## {user}: crest of 2.5 times the capacity for 2 s", ""]
     lines.append("| policy | useful share | p99 ms | refused after ms (p99) | recovered after s |")
     lines.append("|---|---|---|---|---|")
-    for policy in CREST_POLICIES:
+    for policy in SELECTED_POLICIES:
         cells = []
-        for name, form in (
+        for name, number_format in (
             ("useful_share", ".2f"),
             ("p99", ".0f"),
             ("refusal_ms", ".1f"),
             ("recovery_s", ".2f"),
         ):
             mean = find_mean(figures, name, user=user, policy=policy, crest=True)
-            cells.append("none" if mean is None else f"{mean:{form}}")
+            cells.append("none" if mean is None else f"{mean:{number_format}}")
         lines.append(f"| {policy} | {' | '.join(cells)} |")
     return lines
 
@@ -121,9 +121,9 @@
 
     chart, axes = pyplot.subplots(1, len(SIZES), figsize=(11, 4.5), sharey=True)
     for axis, user in zip(axes, SIZES, strict=True):
-        plain = {"user": user, "crest": False, "long_share": 0.0, "stragglers": 0.01}
+        plan = {"user": user, "crest": False, "long_share": 0.0, "stragglers": 0.01}
         for policy in POLICIES:
-            tail = [find_mean(figures, "p99", policy=policy, load=load, **plain) for load in LOADS]
+            tail = [find_mean(figures, "p99", policy=policy, load=load, **plan) for load in LOADS]
             axis.plot(LOADS, tail, marker="o", label=policy)
         axis.set_title(user)
         axis.set_xlabel("load")
@@ -144,7 +144,7 @@
     FOLDER.mkdir(parents=True, exist_ok=True)
     document = [asdict(each) for each in figures]
     (FOLDER / "policies.json").write_text(json.dumps(document, indent=1), encoding="utf-8")
-    lines = write_table(figures)
+    lines = format_table(figures)
     (FOLDER / "policies.md").write_text("\n".join(lines) + "\n", encoding="utf-8")
     draw_plot(figures, FOLDER / "policies.png")
     print("\n".join(lines))
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/processes.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/processes.py
@@ -49,7 +49,7 @@
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
 
-def read_memory(pid: int) -> float:
+def read_memory_mb(pid: int) -> float:
     """Read the resident memory of a process in MB."""
     pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
     return pages * PAGE_BYTES / 1e6
@@ -87,14 +87,14 @@
     return fleet
 
 
-def call_in_turn(address: str, request: bytes, *, calls: int, seconds: float) -> list[float]:
+def call_sequentially(address: str, request: bytes, *, calls: int, seconds: float) -> list[float]:
     """Make calls one after the other over one connection; returns milliseconds."""
     host, port = address.split(":")
     times: list[float] = []
     with socket.create_connection((host, int(port))) as sock:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        until = time.monotonic() + seconds
-        while len(times) < calls and time.monotonic() < until:
+        deadline = time.monotonic() + seconds
+        while len(times) < calls and time.monotonic() < deadline:
             started = time.perf_counter()
             sock.sendall(request)
             _read_answer(sock)
@@ -105,24 +105,24 @@
 def _read_answer(sock: socket.socket) -> None:
     received = b""
     while b"\r\n\r\n" not in received:
-        part = sock.recv(65_536)
-        if not part:
+        chunk = sock.recv(65_536)
+        if not chunk:
             raise ConnectionError("the connection ended")
-        received += part
+        received += chunk
     head, _, body = received.partition(b"\r\n\r\n")
     match = re.search(rb"(?i)content-length: *(\d+)", head)
-    left = int(match.group(1)) - len(body) if match else 0
-    while left > 0:
-        left -= len(sock.recv(65_536))
+    remaining = int(match.group(1)) - len(body) if match else 0
+    while remaining > 0:
+        remaining -= len(sock.recv(65_536))
 
 
 def _count_calls(address: str, request: bytes, seconds: float) -> int:
-    return len(call_in_turn(address, request, calls=10**9, seconds=seconds))
+    return len(call_sequentially(address, request, calls=10**9, seconds=seconds))
 
 
-def measure_way(fleet: Fleet, way: str, address: str, request: bytes) -> CallFigures:
+def measure_path(fleet: Fleet, way: str, address: str, request: bytes) -> CallFigures:
     """Measure the latency of single calls, then calls per second with several callers."""
-    times = call_in_turn(address, request, calls=LATENCY_CALLS, seconds=20)
+    times = call_sequentially(address, request, calls=LATENCY_CALLS, seconds=20)
     quantiles = statistics.quantiles(times, n=100)
     pids = [each.popen.pid for each in fleet.daemons.values() if each.popen is not None]
     before = sum(read_cpu_seconds(pid) for pid in pids)
@@ -158,9 +158,9 @@
         other = next(name for name in fleet.daemons if name != owner)
         server = next(iter(fleet.servers.values()))
         return [
-            measure_way(fleet, "direct", server.address, request),
-            measure_way(fleet, "owner", fleet.daemons[owner].address, request),
-            measure_way(fleet, "handed over", fleet.daemons[other].address, request),
+            measure_path(fleet, "direct", server.address, request),
+            measure_path(fleet, "owner", fleet.daemons[owner].address, request),
+            measure_path(fleet, "handed over", fleet.daemons[other].address, request),
         ]
     finally:
         fleet.stop()
@@ -204,7 +204,7 @@
             daemons=daemons,
             core_share=cpu / IDLE_SECONDS / daemons,
             bytes_per_second=sent / IDLE_SECONDS / daemons,
-            memory_mb=sum(read_memory(pid) for pid in pids) / daemons,
+            memory_mb=sum(read_memory_mb(pid) for pid in pids) / daemons,
         )
     finally:
         fleet.stop()
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/slopes.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/slopes.py
@@ -57,9 +57,9 @@
     drivers = np.array([point[0] for point in points], dtype=float)
     costs = np.array([point[1] for point in points], dtype=float)
     slope, base = np.polyfit(drivers, costs, 1)
-    left = costs - (slope * drivers + base)
-    spread = float(((costs - costs.mean()) ** 2).sum())
-    fit = 1 - float((left**2).sum()) / spread if spread else 1.0
+    residuals = costs - (slope * drivers + base)
+    total_squares = float(((costs - costs.mean()) ** 2).sum())
+    fit = 1 - float((residuals**2).sum()) / total_squares if total_squares else 1.0
     return Slope(
         cost=cost,
         driver=driver,
@@ -88,15 +88,15 @@
     )
 
 
-def measure_peak(build: Callable[[], object]) -> tuple[float, float]:
+def measure_build(build: Callable[[], object]) -> tuple[float, float]:
     """Measure the bytes that a built object occupies and the seconds to build it."""
     tracemalloc.start()
     started = time.perf_counter()
-    kept = build()
+    built = build()
     seconds = time.perf_counter() - started
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del kept
+    del built
     return float(size), seconds
 
 
@@ -120,11 +120,11 @@
             table.follow_configuration(configuration.services, warm=True)
             return checked, state, table
 
-        kept, _ = measure_peak(apply)
+        size, _ = measure_build(apply)
         started = time.perf_counter()
         apply()
         times.append((services, (time.perf_counter() - started) * 1000))
-        memory.append((services, kept / 1e6))
+        memory.append((services, size / 1e6))
         routing.append((services, measure_routing(model)))
     return [
         fit_line("bytes of one change on the log", "services", sizes),
@@ -151,7 +151,7 @@
     points = []
     for count in (10_000, 30_000, 100_000):
 
-        def hold(count: int = count) -> object:
+        def build_keys(count: int = count) -> object:
             return {
                 digest_key("s", str(uuid.uuid4())): KeyEntry(
                     state=KeyState.RAN, fingerprint=number, seen_at=0.0, call_id=number
@@ -159,8 +159,8 @@
                 for number in range(count)
             }
 
-        kept, _ = measure_peak(hold)
-        points.append((float(count), kept / 1e6))
+        size, _ = measure_build(build_keys)
+        points.append((float(count), size / 1e6))
     return fit_line("MB without kept answers", "keys held", points)
 
 
@@ -185,7 +185,7 @@
     return fit_line("bytes of a renewal record", "leases renewed", points)
 
 
-def measure_handing() -> Slope:
+def measure_forwarding() -> Slope:
     """Measure the bytes of a forwarded call over the size of its body."""
     points = []
     for size in (0, 1000, 10_000):
@@ -226,7 +226,7 @@
 
 def main() -> int:
     """Measure, print and write every slope with its fit."""
-    slopes = [*measure_configuration(), measure_keys(), measure_grants(), measure_handing()]
+    slopes = [*measure_configuration(), measure_keys(), measure_grants(), measure_forwarding()]
     slopes += measure_daemons()
     calls = measure_calls(log_level="warning")
     lines = ["# Slopes", "", "| cost | driver | points | per unit | base | fit |"]
@@ -239,10 +239,10 @@
         )
     lines += ["", "| way of a call | p50 ms | p99 ms | calls/s | daemon CPU us/call |"]
     lines.append("|---|---|---|---|---|")
-    for way in calls:
+    for call in calls:
         lines.append(
-            f"| {way.way} | {way.p50:.2f} | {way.p99:.2f} | {way.calls_per_second:.0f} "
-            f"| {way.cpu_us:.0f} |"
+            f"| {call.way} | {call.p50:.2f} | {call.p99:.2f} | {call.calls_per_second:.0f} "
+            f"| {call.cpu_us:.0f} |"
         )
     FOLDER.mkdir(parents=True, exist_ok=True)
     document = {
