--- a/packages/dotterelgate-bench/src/dotterelgate_bench/experiment.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/experiment.py
@@ -20,7 +20,7 @@
 __all__ = ["POLICIES", "SIZES", "Experiment", "Figures", "Plan", "Size", "run_experiment"]
 
 MEAN_WORK_SECONDS = 0.02
-SIGMA = 0.5
+SIGMA = 0.5  # of the lognormal distribution of the work
 STRAGGLER_FACTOR = 25.0
 NOISE_FACTOR = 3.0
 NOISE_SECONDS = 0.2
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/model.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/model.py
@@ -39,7 +39,7 @@
 __all__ = ["ModelDaemon", "ModelLog", "ModelServer", "Network", "Run"]
 
 TICK_SECONDS = 0.02
-SILENCE_SECONDS = 0.8
+SILENCE_SECONDS = 0.8  # grace period for a missing answer or an unreachable peer
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -273,10 +273,7 @@
             self._inbox.popleft()()
 
     def call(self, call_fields: dict[str, Any], attempt: str, reply: Reply) -> int:
-        """Accept a request from a caller or a peer.
-
-        :returns: its call id on this daemon
-        """
+        """Accept a request from a caller or a peer; returns its call id on this daemon."""
         self._next_id += 1
         call = Call(id=self._next_id, **call_fields)
         self._pending[call.id] = _Pending(call=call, attempt=attempt, reply=reply)
