--- a/features/subjects/schedules.py
+++ b/features/subjects/schedules.py
@@ -119,8 +119,8 @@
         def draw(server, call):
             return self._random.expovariate(20) + 0.001
 
-        heeds = self.weakening.fence
-        return ModelServer(clock=self._clock, slots=2, draw=draw, heeds_fence=heeds)
+        enforces = self.weakening.fence
+        return ModelServer(clock=self._clock, slots=2, draw=draw, enforces_fence=enforces)
 
     def _make_daemon(self, name: str) -> ModelDaemon:
         self._runs[name] += 1
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/model.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/model.py
@@ -56,13 +56,13 @@
     """Backend server with slots and a first-in, first-out queue.
 
     :param draw: draws the seconds that a request takes if it starts now
-    :param heeds_fence: whether it refuses requests that would start after their fence
+    :param enforces_fence: whether it refuses requests that would start after their fence
     """
 
     clock: FakeClock
     slots: int
     draw: Callable[[ModelServer, Call], float]
-    heeds_fence: bool = True
+    enforces_fence: bool = True
     busy: int = 0
     waiting: deque[Callable[[], None]] = field(default_factory=deque)
     ledger: list[Run] = field(default_factory=list)
@@ -81,7 +81,7 @@
             if not is_wanted[0]:
                 self._start_next()
                 return
-            if self.heeds_fence and fence is not None and self.clock.now > fence:
+            if self.enforces_fence and fence is not None and self.clock.now > fence:
                 done(False)
                 self._start_next()
                 return
