--- a/features/subjects/schedules.py
+++ b/features/subjects/schedules.py
@@ -189,8 +189,8 @@
             self._clock.schedule(self._random.choice((1, 8)), self._mend_log)
         else:
             pair = frozenset((name, self._random.choice(DAEMONS)))
-            self._network.cut.add(pair)
-            self._clock.schedule(4, lambda: self._network.cut.discard(pair))
+            self._network.partitions.add(pair)
+            self._clock.schedule(4, lambda: self._network.partitions.discard(pair))
 
     def _kill(self, name: str, *, is_gone: bool) -> None:
         if self._daemons[name].is_dead:
@@ -214,7 +214,7 @@
 
     def _mend_all(self) -> None:
         self._mend_log()
-        self._network.cut.clear()
+        self._network.partitions.clear()
 
     def _begin_key(self, number: int) -> None:
         key = str(uuid.UUID(int=self._random.getrandbits(128), version=4))
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/model.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/model.py
@@ -143,16 +143,16 @@
 
 @dataclass(kw_only=True)
 class Network:
-    """Network with random delays; pairs in ``cut`` cannot reach each other."""
+    """Network with random delays; pairs in ``partitions`` cannot reach each other."""
 
     clock: FakeClock
     random: Random
     delay: float = 0.0004
-    cut: set[frozenset[str]] = field(default_factory=set)
+    partitions: set[frozenset[str]] = field(default_factory=set)
 
     def send(self, source: str, target: str, deliver: Callable[[], None]) -> None:
         """Deliver after a delay unless the two cannot reach each other."""
-        if frozenset((source, target)) not in self.cut:
+        if frozenset((source, target)) not in self.partitions:
             self.clock.schedule(self.delay * self.random.uniform(0.8, 1.5), deliver)
 
 
@@ -465,7 +465,7 @@
         self.clock.schedule(SILENCE_SECONDS, lambda: self.receive(check_peer))
 
     def _is_cut_off(self, peer: ModelDaemon) -> bool:
-        return frozenset((self.name, peer.name)) in self.network.cut
+        return frozenset((self.name, peer.name)) in self.network.partitions
 
     def _cancel(self, order: messages.Cancel) -> None:
         pending = self._pending.get(order.call_id)
