--- a/features/subjects/measuring.py
+++ b/features/subjects/measuring.py
@@ -51,7 +51,7 @@
         log = ModelLog(clock=self._clock)
         self._daemons = [self._make_daemon(f"entry-{n}", network, log) for n in (1, 2, 3)]
         for daemon in self._daemons:
-            daemon.meet(self._daemons)
+            daemon.add_peers(self._daemons)
         for _ in range(8):
             self._clock.schedule(self._random.uniform(2, 35), self._freeze)
         self._clock.run_until(LENGTH_SECONDS)
--- a/features/subjects/schedules.py
+++ b/features/subjects/schedules.py
@@ -159,7 +159,7 @@
 
     def _meet(self) -> None:
         for daemon in self._daemons.values():
-            daemon.meet(list(self._daemons.values()))
+            daemon.add_peers(list(self._daemons.values()))
 
     def _may_freeze(self, daemon: ModelDaemon, orders) -> bool:
         if not any(isinstance(order, (Dispatch, Forward)) for order in orders):
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/experiment.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/experiment.py
@@ -182,7 +182,7 @@
             for number in range(count)
         ]
         for daemon in daemons:
-            daemon.meet(daemons)
+            daemon.add_peers(daemons)
             daemon.configure(configuration)
             daemon.start()
         return daemons
--- a/packages/dotterelgate-bench/src/dotterelgate_bench/model.py
+++ b/packages/dotterelgate-bench/src/dotterelgate_bench/model.py
@@ -237,7 +237,7 @@
         if poll is not None:
             self.clock.repeat(poll, lambda: self.receive(self.poll))
 
-    def meet(self, others: list[ModelDaemon]) -> None:
+    def add_peers(self, others: list[ModelDaemon]) -> None:
         """Add other daemons as peers."""
         for other in others:
             if other.name != self.name:
