--- a/features/environment.py
+++ b/features/environment.py
@@ -1,4 +1,4 @@
-"""Sets up and ends what a scenario needs."""
+"""Set-up and clean-up around each scenario."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 def before_scenario(context, scenario):
-    """Let steps register what has to be ended."""
+    """Create the list in which steps register what to end."""
     context.endings = []
 
 
 def after_scenario(context, scenario):
-    """End what the steps started, in reverse order."""
+    """End what the steps registered, in reverse order."""
     for end in reversed(context.endings):
         end()
--- a/features/run.py
+++ b/features/run.py
@@ -1,4 +1,4 @@
-"""Runs the linters and all features, and counts what passed and failed."""
+"""Runs the linters and all features, and prints how many passed and failed."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass
 class Counts:
-    """What passed, failed, and failed as known."""
+    """Names of what passed, failed, and failed as listed in KNOWN-RED.txt."""
 
     passed: list[str] = field(default_factory=list)
     failed: list[str] = field(default_factory=list)
@@ -38,7 +38,7 @@
 
 
 def read_known_red() -> set[str]:
-    """Read the names of the scenarios that may fail."""
+    """Read the names of the scenarios listed in KNOWN-RED.txt."""
     lines = KNOWN_RED.read_text(encoding="utf-8").splitlines()
     return {line.split("|")[0].strip() for line in lines if line and not line.startswith("#")}
 
@@ -69,7 +69,7 @@
 
 
 def list_scenarios(features: list[dict]) -> list[tuple[str, bool]]:
-    """List each scenario's name and whether it passed; one not run has failed."""
+    """List each scenario's name and whether it passed; one that did not run counts as failed."""
     return [
         (element["name"].strip(), element.get("status") == "passed")
         for feature in features
@@ -79,7 +79,7 @@
 
 
 def main() -> int:
-    """Run everything; the last line is the count."""
+    """Run all checks and features; the last line printed is the count."""
     selected = sys.argv[1:]
     known_red = read_known_red()
     counts = Counts()
--- a/features/soak.py
+++ b/features/soak.py
@@ -22,9 +22,11 @@
     seeds: Annotated[int, typer.Option(help="How many seeds to run.")] = 1,
     seconds: Annotated[float, typer.Option(help="Seconds with faults for each.")] = 12.0,
     daemons: Annotated[int, typer.Option(help="Daemons in each run.")] = 3,
-    failed: Annotated[bool, typer.Option(help="Run the seeds that ever failed.")] = False,
+    failed: Annotated[
+        bool, typer.Option(help="Run the seeds that failed in earlier runs.")
+    ] = False,
 ) -> None:
-    """Run seeds one after the other; the exit status tells whether a promise was broken."""
+    """Run seeds one after the other; exits with 1 if a guarantee was violated."""
     numbers = range(seed, seed + seeds)
     if failed:
         numbers = [each["seed"] for each in json.loads(FAILED_SEEDS.read_text("utf-8"))]
--- a/features/soaking/__init__.py
+++ b/features/soaking/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak of the real programs with faults from outside them."""
+"""A randomized soak test of the real programs under injected faults."""
--- a/features/soaking/callers.py
+++ b/features/soaking/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the soak: they keep their connections and note what they were told."""
+"""Callers of the soak: they reuse their connections and record every answer."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Told:
-    """One request and what its caller was told.
+    """One request and the answer that its caller received.
 
-    :param status: ``None`` when the connection ended without a whole answer
-    :param problem: why the answer cannot be right, if it cannot
+    :param status: ``None`` when the connection ended without a complete answer
+    :param problem: what is wrong with the answer; empty if nothing is
     """
 
     request_id: str
@@ -47,14 +47,14 @@
     _threads: list[threading.Thread] = field(default_factory=list)
 
     def start(self) -> None:
-        """Begin to call."""
+        """Start the threads."""
         for number in range(self.count):
             thread = threading.Thread(target=self._call, args=(number,))
             thread.start()
             self._threads.append(thread)
 
     def stop(self) -> None:
-        """Let each end its request, then end."""
+        """Stop the threads after their current requests."""
         self._stopping.set()
         for thread in self._threads:
             thread.join()
@@ -114,7 +114,7 @@
 
 
 def check_answer(answer: http.client.HTTPResponse, text: str, line: str, request_id: str) -> str:
-    """Check that a success is the backend server's whole answer to this request."""
+    """Check that a success is the backend server's complete answer to this request."""
     if answer.headers["request-id"] != request_id:
         return f"the answer belongs to {answer.headers['request-id']}"
     if not answer.headers["server-stamp"]:
--- a/features/soaking/promises.py
+++ b/features/soaking/promises.py
@@ -1,4 +1,4 @@
-"""What must hold, checked from what callers and backend servers saw."""
+"""Guarantees of the system, checked against what callers and backend servers recorded."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 __all__ = ["Evidence", "Span", "check_promises"]
 
-# Statuses that say that a request has not run and never will.
+# Statuses that state that a request has not run and never will.
 NOT_RUN_STATUSES = {408, 421, 429, 503}
-# New work for a backend server that leaves ends this long after its entry (the platform's
+# A leaving backend server gets no new work after this time from its entry (the platform's
 # bound is 2 s from the store's answer).
 LEAVING_SECONDS = 2.0
-# Disturbance counts for so long after its end (the platform's stable window).
+# A fault may have effects for this long after its end (the platform's stable window).
 AFTERMATH_SECONDS = 3.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class Span:
-    """A time in which something was disturbed.
+    """A time span in which something was disturbed.
 
     :param subject: name of a daemon, a link, or "all"
     """
@@ -35,14 +35,15 @@
 
 @dataclass
 class Evidence:
-    """What was seen during a run.
+    """What was recorded during a run.
 
     :param arrivals: ids and seconds of the requests that each backend server ran
-    :param leavings: from when to when each backend server said that it leaves
+    :param leavings: spans in which a backend server reported that it is leaving
     :param stops: planned stops of daemons
-    :param faults: all other disturbance
-    :param versions: per run of a daemon, versions in the order in which it showed them
+    :param faults: all other disturbances
+    :param versions: configuration versions that each run of a daemon served, in order
     :param ended: daemons that ended by themselves
+    :param late: what did not recover or end in time
     """
 
     told: list[Told] = field(default_factory=list)
@@ -56,7 +57,7 @@
 
 
 def check_promises(evidence: Evidence) -> list[str]:
-    """List each promise that was broken."""
+    """List each violated guarantee."""
     runs = Counter(each for arrivals in evidence.arrivals.values() for each, _ in arrivals)
     broken = [f"{each} ended by itself" for each in evidence.ended]
     broken += evidence.late
@@ -70,7 +71,7 @@
 
 
 def check_request(evidence: Evidence, told: Told, ran: int) -> list[str]:
-    """Check what one caller was told against how often its request ran."""
+    """Check the answer to one request against how often it ran."""
     broken = []
     if told.problem:
         broken.append(f"{told.request_id}: {told.problem}")
@@ -85,7 +86,7 @@
 
 
 def is_planned_only(evidence: Evidence, told: Told) -> bool:
-    """Tell whether a planned stop alone can be why a request was cut off."""
+    """Return whether only a planned stop can have cut a request off."""
     is_stop = any(overlaps(stop, told.begun, told.ended, told.daemon) for stop in evidence.stops)
     return is_stop and not any(
         fault.begun <= told.ended and told.begun <= fault.ended + AFTERMATH_SECONDS
@@ -94,12 +95,12 @@
 
 
 def overlaps(span: Span, begun: float, ended: float, subject: str) -> bool:
-    """Tell whether a span of a subject touches a time."""
+    """Return whether a span of this subject overlaps a time."""
     return span.subject == subject and span.begun <= ended and begun <= span.ended
 
 
 def check_leavings(evidence: Evidence) -> list[str]:
-    """Check that a backend server that leaves gets no new work while nothing is disturbed."""
+    """Check that a leaving backend server gets no new work, except around faults."""
     broken = []
     for leaving in evidence.leavings:
         for request_id, at in evidence.arrivals.get(leaving.subject, []):
@@ -111,6 +112,6 @@
             if is_late and not disturbed:
                 broken.append(
                     f"{request_id} went to {leaving.subject}, "
-                    f"{at - leaving.begun:.2f} s after it said that it leaves"
+                    f"{at - leaving.begun:.2f} s after it reported that it is leaving"
                 )
     return broken
--- a/features/soaking/proxy.py
+++ b/features/soaking/proxy.py
@@ -1,4 +1,4 @@
-"""Loopback proxy whose links can be delayed, reset, cut one way or silenced."""
+"""Loopback proxy that can delay or reset a link, or drop its bytes one way or both ways."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class LinkFault(Enum):
-    """What happens to the connections of a link."""
+    """Fault injected into the connections of a link."""
 
     NONE = "none"
     DELAYED = "delayed"
@@ -37,7 +37,7 @@
 class Link:
     """Connections to one target.
 
-    :param address: where the proxy listens for them
+    :param address: where the proxy listens for this target
     """
 
     name: str
@@ -48,7 +48,7 @@
 
 
 class FaultProxy:
-    """All links, served by a loop on a thread of its own."""
+    """Serves all links from an event loop on a thread of its own."""
 
     def __init__(self) -> None:
         self.links: dict[str, Link] = {}
@@ -57,7 +57,7 @@
         self._thread.start()
 
     def add(self, name: str, target: str) -> str:
-        """Add a link; returns the address that stands for the target."""
+        """Add a link; returns the address to use instead of the target."""
         link = Link(name=name, target=target)
         link.address = find_free_address()
         sock = socket.socket()
@@ -72,7 +72,7 @@
         return link.address
 
     def set_fault(self, name: str, fault: LinkFault) -> None:
-        """Set what happens to a link; connections that lost bytes stay silent for good."""
+        """Set the fault of a link; a connection that lost bytes stays silent until it ends."""
         link = self.links[name]
         link.fault = fault
         if fault is LinkFault.RESET:
@@ -105,7 +105,7 @@
             reset(writer)
             return
         link.writers.add(far_writer)
-        # The proxy's end cancels both directions.
+        # Stopping the proxy cancels both directions.
         with contextlib.suppress(asyncio.CancelledError):
             await asyncio.gather(
                 pump(link, reader, far_writer, DROPS_TO_TARGET),
@@ -120,7 +120,7 @@
     writer: asyncio.StreamWriter,
     dropping: set[LinkFault],
 ) -> None:
-    """Carry bytes one way until either side ends."""
+    """Forward bytes one way until either side ends."""
     is_silent = False
     with contextlib.suppress(OSError):
         while data := await reader.read(READ_BYTES):
@@ -142,5 +142,5 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """End a connection by a reset."""
+    """Reset a connection."""
     writer.transport.abort()
--- a/features/soaking/schedule.py
+++ b/features/soaking/schedule.py
@@ -1,4 +1,4 @@
-"""One run of the soak: programs, callers, and faults by a random schedule."""
+"""One run of the soak: programs, callers and a random schedule of faults."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 
 SERVERS = 4
 CALLERS = 8
-# Calm time in which everything must be well again: a lost answer of the store is given
-# up after 6.2 s, then it is asked again.
+# Time without faults in which all must recover: a read whose answer is lost times out
+# after 6.2 s and is then repeated.
 CALM_SECONDS = 8.0
 POLL_SECONDS = 0.05
 LINK_FAULTS = tuple(fault for fault in LinkFault if fault is not LinkFault.NONE)
@@ -46,7 +46,7 @@
     notes: list[str] = field(default_factory=list)
 
     def run(self) -> list[str]:
-        """Run it; returns the promises that were broken."""
+        """Run the schedule; returns the violated guarantees."""
         self._random = random.Random(self.seed)
         self._proxy = FaultProxy()
         self._platform = PlatformPath()
@@ -105,11 +105,11 @@
         end = time.monotonic() + self.seconds
         while time.monotonic() < end:
             self._random.choice(actions)()
-            # Some faults come in series, others overlap.
+            # Depending on the pause, faults follow one another or overlap.
             self._pass(self._random.choice((0.05, 0.3, 1.0)))
 
     def _pass(self, seconds: float) -> None:
-        """Let time pass, and undo what is due."""
+        """Let time pass and run the pending calls that are due."""
         until = time.monotonic() + seconds
         while time.monotonic() < until:
             now = time.monotonic()
@@ -129,14 +129,14 @@
             versions = self.evidence.versions.get(self._name_run(name), [])
             if not versions or versions[-1] != self._version:
                 self.evidence.late.append(
-                    f"{name} does not serve version {self._version} when all is calm: {versions}"
+                    f"{name} does not serve version {self._version} after all faults: {versions}"
                 )
 
     def _name_run(self, name: str) -> str:
         return f"{name} run {self._runs[name]}"
 
     def _look_at_versions(self) -> None:
-        """Ask each daemon for a route that only the newest version has."""
+        """Request from each daemon a route that exists in one version only."""
         for name in self._runs:
             if name in self._down:
                 continue
@@ -261,7 +261,7 @@
         seconds = self._random.uniform(0.1, 1.0)
         self._note("all backend servers and the store", seconds, "paused")
         self._platform.stand_ins.freeze()
-        # Nothing else can be asked of them meanwhile.
+        # They cannot be controlled in the meantime.
         time.sleep(seconds)
         self._platform.stand_ins.thaw()
 
--- a/features/steps/answer_steps.py
+++ b/features/steps/answer_steps.py
@@ -1,4 +1,4 @@
-"""Steps on answers and on what callers are told."""
+"""Steps on answers and refusals that callers receive."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def exchange_raw(address, data, *, seconds=3.0):
-    """Send raw bytes and read until the connection ends or is quiet."""
+    """Send raw bytes and read until the connection ends or stays silent."""
     host, port = address.split(":")
     received = b""
     with socket.create_connection((host, int(port)), timeout=seconds) as sock:
--- a/features/steps/chain_steps.py
+++ b/features/steps/chain_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the order of competing records."""
+"""Steps on competing records on the log."""
 
 from __future__ import annotations
 
--- a/features/steps/front_steps.py
+++ b/features/steps/front_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the decisions of a daemon that follows a keyed store."""
+"""Steps on the decisions of a daemon that follows a keyed store."""
 
 from __future__ import annotations
 
@@ -143,7 +143,7 @@
 
 
 def fail(front, call_id, server, *, sent):
-    """Let a dispatched request's connection break."""
+    """Break the connection of a dispatched request."""
     return front.run(
         messages.DispatchFailed(
             now=front.now,
@@ -267,7 +267,7 @@
 
 
 def count_probes(context, seconds, rate):
-    """Let time pass with requests; returns the probes of each backend server."""
+    """Let time pass at a request rate; returns each backend server's number of probes."""
     front = context.front
     counts = dict.fromkeys(front.state.servers.states, 0)
     for step in range(round(seconds / TICK_SECONDS)):
@@ -346,7 +346,7 @@
 
 
 def read_slowly(context, seconds, every):
-    """Let a read come and be answered at an interval; returns where they went."""
+    """Send and answer reads at an interval; returns the backend servers they went to."""
     front = context.front
     went = []
     for _ in range(round(seconds / every)):
--- a/features/steps/keyed_steps.py
+++ b/features/steps/keyed_steps.py
@@ -14,7 +14,7 @@
 
 
 def make_timed_key() -> str:
-    """Make a time-ordered UUID (RFC 9562, version 7) of this moment."""
+    """Make a time-ordered UUID (RFC 9562, version 7) of the current time."""
     random_bits = uuid.uuid4().int & ((1 << 62) - 1)
     value = int(time.time() * 1000) << 80 | 7 << 76 | 2 << 62 | random_bits
     return str(uuid.UUID(int=value))
@@ -200,7 +200,7 @@
 def check_dead(context):
     for key in context.dead:
         answer = context.written[key]
-        # The first few are handed over before the holder is known to be silent.
+        # The first few are forwarded before the holder is found to be silent.
         assert answer.outcome in ("attempt-not-run", "unknown"), answer
         assert context.system.fleet.count_runs(key) == 0
     told = [context.written[key].outcome for key in context.dead]
--- a/features/steps/pattern_steps.py
+++ b/features/steps/pattern_steps.py
@@ -1,4 +1,4 @@
-"""Steps about load patterns."""
+"""Steps on load patterns."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from subjects.zone import ZoneCrowd
 
 CREST_FROM, CREST_TO = 3.0, 5.0
-# One daemon whose requests all take alike; those that are refused do not come back.
+# One daemon, requests without a slow tail, and callers that do not retry.
 ONE_DAEMON = {
     "fronts": 1,
     "work": 0.05,
@@ -25,7 +25,7 @@
 
 
 def run_both(context, seed, rate):
-    """Run a pattern with the shared queue and with what it has to beat."""
+    """Run a load with the shared queue and with least in flight, its baseline."""
     context.shared, context.least = (
         ZoneCrowd(policy=policy, seed=seed, rate=rate, servers=context.servers, **ONE_DAEMON).run()
         for policy in ("shared_queue", "least_in_flight")
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the platform's path."""
+"""Steps on the platform's path."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from dotterelgate_bench.fleet import wait_until
 
 DAEMONS = ("front-1", "front-2")
-# A store that is slow, but answers well within a caller's time.
+# Slow, but well within a caller's time limit.
 SLOW_SECONDS = 0.08
 
 
@@ -172,7 +172,7 @@
         worker.start()
     time.sleep(0.5)
     context.platform.daemons["front-1"].send(signal.SIGTERM)
-    # The daemon takes callers for its linger of 0.5 s.
+    # The daemon accepts callers for its linger of 0.5 s.
     time.sleep(0.2)
     stopping.set()
     for worker in workers:
@@ -193,7 +193,7 @@
                 answer = context.platform.request("front-1", "/orders/x", f"r{worker}-{number}")
                 context.statuses.append(answer.status_code)
             except httpx.TransportError:
-                # Nobody took it, or the kill cut it.
+                # No daemon accepted it, or the kill cut it off.
                 time.sleep(0.005)
 
     workers = [threading.Thread(target=call, args=(n,)) for n in range(4)]
--- a/features/steps/pool_steps.py
+++ b/features/steps/pool_steps.py
@@ -1,4 +1,4 @@
-"""Steps about connections that are used again."""
+"""Steps on connections that are reused."""
 
 from __future__ import annotations
 
--- a/features/steps/reading_steps.py
+++ b/features/steps/reading_steps.py
@@ -1,4 +1,4 @@
-"""Steps about which daemons of a zone read the store, and whom they take for alive."""
+"""Steps on which daemons of a zone read the store, and which peers count as alive."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 
 
 def advance(fronts, reads, seconds, silent=(), refused=()):
-    """Let time pass; reads succeed at once and their news reach all that are not silent.
+    """Let time pass; reads succeed at once and their updates reach all that are not silent.
 
-    :param refused: names of those whose reads fail
+    :param refused: daemons whose reads fail
     """
     for step in range(round(seconds / TICK_SECONDS)):
         for name, front in fronts.items():
@@ -60,15 +60,15 @@
 
 
 def refuse_reads(front, orders):
-    """Let the store turn this daemon away, its waiting read included."""
+    """Let all reads of this daemon fail, its waiting read included."""
     if find(orders, ReadRegistry) is not None:
-        front.tell(RegistryReadFailed(now=front.now, reason="the store turned it away"))
+        front.tell(RegistryReadFailed(now=front.now, reason="the store refused the read"))
     if front.reading.configuration.is_reading:
-        front.tell(ConfigurationReadFailed(now=front.now, reason="the store turned it away"))
+        front.tell(ConfigurationReadFailed(now=front.now, reason="the store refused the read"))
 
 
 def take_configuration_order(front, orders):
-    """Answer the first read of the configuration; the store holds back further ones."""
+    """Answer the first read of the configuration; later ones wait for a new version."""
     reading = front.reading.configuration
     if find(orders, ReadConfiguration) is not None and not reading.has_read:
         front.tell(ConfigurationReadEnded(now=front.now))
--- a/features/steps/server_steps.py
+++ b/features/steps/server_steps.py
@@ -1,4 +1,4 @@
-"""Steps on leaving backend servers and on measuring them."""
+"""Steps on leaving backend servers and on probes."""
 
 from __future__ import annotations
 
--- a/features/steps/slot_steps.py
+++ b/features/steps/slot_steps.py
@@ -1,4 +1,4 @@
-"""Steps about slots that one daemon of a zone grants to the others."""
+"""Steps on slots that one daemon of a zone grants to the others."""
 
 from __future__ import annotations
 
@@ -232,7 +232,7 @@
 def explain(context):
     pair = (context.front, context.owner)
     for front, other in (pair, reversed(pair)):
-        # The explanation goes by the clock of the process.
+        # The explanation reads the clock of the process.
         front.now = time.monotonic()
         front.hear_peer(other.state.name)
         for number in range(FAR_DAEMONS):
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the soak with random faults."""
+"""Steps on the soak with random faults."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def tell(request_id, status, *, daemon="front-1"):
-    """Build what the caller of a write was told."""
+    """Build the result that the caller of a write received."""
     return Told(
         request_id=request_id,
         daemon=daemon,
--- a/features/steps/stop_steps.py
+++ b/features/steps/stop_steps.py
@@ -13,7 +13,7 @@
 
 LINGER_SECONDS = 1.0
 LEAST_ANSWERS = 20
-# The stopping daemon takes callers for 2 s.
+# The stopping daemon accepts callers for 2 s.
 LONGEST_LOAD_SECONDS = 1.8
 
 
@@ -98,8 +98,8 @@
     context.load.start()
     context.system.fleet.daemons[name].send(signal.SIGTERM)
     began = time.monotonic()
-    # A slow machine needs longer for the answers that the check asks for; the
-    # daemon takes callers for its linger of 2 s.
+    # A slow machine needs longer for the answers that the check requires; the
+    # daemon accepts callers for its linger of 2 s.
     while time.monotonic() - began < seconds or (
         len(context.load.answers) <= LEAST_ANSWERS
         and time.monotonic() - began < LONGEST_LOAD_SECONDS
--- a/features/steps/system_steps.py
+++ b/features/steps/system_steps.py
@@ -22,7 +22,7 @@
 
 
 def check_refusal(answer, name, outcome):
-    """Check the result code and the outcome that a caller was told."""
+    """Check the result code, the status and the outcome that a caller received."""
     code = getattr(codes, name.upper())
     assert answer.code == code.number, answer
     assert answer.status == code.status, answer
--- a/features/subjects/__init__.py
+++ b/features/subjects/__init__.py
@@ -1,1 +1,1 @@
-"""Subjects of the features, a class for each."""
+"""Test subjects of the features, a class for each."""
--- a/features/subjects/chain.py
+++ b/features/subjects/chain.py
@@ -17,7 +17,7 @@
     oldest: int = 0
 
     def read(self, log: list[Link], oldest: int) -> None:
-        """Read all that is retained, beginning again after a gap."""
+        """Read all retained records, starting over after a gap."""
         if oldest > self.read_to:
             self.chain.begin(start=oldest)
             self.read_to = oldest
@@ -28,13 +28,13 @@
         self.chain.expire(oldest=oldest)
 
     def may_claim(self) -> bool:
-        """Tell whether a claim may be written from what is known here."""
+        """Return whether a claim may be written from what this reader has read."""
         return self.chain.known or not self.chain.undecided
 
 
 @dataclass
 class ChainHistory:
-    """A random history of claims by readers that see the log late and in part."""
+    """A random history of claims by readers that read the log late and in part."""
 
     seed: int
     strict: bool = True
@@ -73,7 +73,7 @@
         elif action < 0.85:
             self._claim(reader)
         elif action < 0.9 and self.log:
-            # A writer whose answer was lost appends its record once more.
+            # A writer that did not get the answer to its append repeats it.
             again = rng.choice(self.log[-6:])
             self.log.append(replace(again, offset=len(self.log)))
         else:
@@ -83,7 +83,7 @@
             fresh.read(self.log, oldest)
 
     def _claim(self, reader: Reader) -> None:
-        # A frozen claimer appends long after it read, which is why it says to where.
+        # A frozen claimer appends long after its last read, so the record carries read_to.
         if self.strict and not reader.may_claim():
             return
         current = reader.chain.current
--- a/features/subjects/core.py
+++ b/features/subjects/core.py
@@ -1,4 +1,4 @@
-"""Subject: the request pipeline of one daemon, fed by hand."""
+"""Subject: the request pipeline of one daemon, without I/O."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class CoreDaemon:
-    """A daemon's decisions without any other part."""
+    """A daemon's decision core alone, on a fake clock."""
 
     def __init__(self, *, servers=1, slots=3, idempotent=True, **service_options):
         self.now = 100.0
@@ -65,14 +65,14 @@
         self.orders.extend(self.decide(message))
 
     def arrive(self, path="/", **fields) -> int:
-        """Let a request arrive and return its call id."""
+        """Let a request arrive; returns its call id."""
         self.next_id += 1
         call = messages.Call(id=self.next_id, method="GET", host="", path=path, **fields)
         self.run(messages.CallArrived(now=self.now, wall=self.now, call=call))
         return self.next_id
 
     def tick(self, *, after: float) -> None:
-        """Let time pass."""
+        """Advance the clock and run a tick."""
         self.now += after
         self.run(messages.Ticked(now=self.now))
 
@@ -81,7 +81,7 @@
         return [each.call_id for each in self.orders if isinstance(each, messages.Dispatch)]
 
     def find_refusal(self, call_id):
-        """Find what a call was refused with."""
+        """Return the refusal of a call."""
         for order in self.orders:
             if isinstance(order, messages.RefuseCall) and order.call_id == call_id:
                 return order.refusal
--- a/features/subjects/exchange.py
+++ b/features/subjects/exchange.py
@@ -12,14 +12,14 @@
 
 
 class FakeStream:
-    """A stream whose kernel takes only some bytes."""
+    """A stream whose kernel buffer accepts only some bytes."""
 
     def __init__(self, takes):
         self.takes = takes
         self.sent_bytes = 1000
 
     def write(self, data):
-        """Take as many bytes as the kernel would."""
+        """Accept as many bytes as the kernel would."""
         self.sent_bytes += min(self.takes, len(data))
 
 
@@ -27,7 +27,7 @@
     """An exchange that loses its connection after some bytes."""
 
     def end_after(self, takes: int) -> bool:
-        """Lose the connection and return what is said of the sending."""
+        """Lose the connection and return whether the request is reported as sent."""
         ends = []
         exchange = Exchange(
             method="POST",
@@ -46,19 +46,19 @@
 
 
 class FakeStreams:
-    """Opens streams that take everything and remember what to call."""
+    """Opens streams that accept everything and stores their callbacks."""
 
     def __init__(self):
         self.opened = []
 
     def open(self, *, address, ready, receive, lost):
-        """Open one; it is established at once."""
+        """Open a stream; ``establish`` completes it."""
         stream = OpenStream(receive=receive, lost=lost)
         self.opened.append((stream, ready))
         return stream
 
     def establish(self):
-        """Let what was opened be established."""
+        """Establish the opened streams."""
         opened, self.opened = self.opened, []
         for _, ready in opened:
             ready()
@@ -66,7 +66,7 @@
 
 
 class OpenStream(FakeStream):
-    """A stream that takes everything."""
+    """A stream that accepts everything."""
 
     def __init__(self, *, receive, lost):
         super().__init__(takes=1_000_000)
@@ -78,11 +78,11 @@
         self.drained = None
 
     def close(self):
-        """Close it."""
+        """Close the stream."""
         self.is_open = False
 
     def reset(self):
-        """Let the other side reset it."""
+        """Reset the stream, as the other side would."""
         self.is_open = False
         self.lost()
 
@@ -102,7 +102,7 @@
             connection.idle_since -= idle
 
     def ask(self):
-        """Ask one thing; returns whether a new connection was opened for it."""
+        """Send a request; returns whether it opened a new connection."""
         exchange = Exchange(
             method="GET",
             head=b"GET / HTTP/1.1\r\nhost: a\r\n\r\n",
--- a/features/subjects/front.py
+++ b/features/subjects/front.py
@@ -26,7 +26,7 @@
 
 
 class Front:
-    """One daemon's request and control pipelines, fed by hand."""
+    """One daemon's request and control pipelines, without I/O."""
 
     def __init__(self, *, seed=SEED, policy="shared_queue", name="front-1"):
         self.now = 100.0
@@ -50,7 +50,7 @@
     def configure(
         self, revision=1, *, split=(), services=("s",), attempts=2, target=0.2, timeout=0.5
     ):
-        """Put a configuration in force, with a read, a write and perhaps a split route."""
+        """Put a configuration in force, with a read, a write and a split route."""
         routes = (
             Route(
                 prefix="/read/",
@@ -84,7 +84,7 @@
         )
 
     def register(self, name, *, offset, service="s", draining=False, born=1, slots=3, zone=ZONE):
-        """Take an entry of a backend server."""
+        """Apply a backend server's registry entry."""
         registration = Registration(
             service=service,
             address=f"10.0.0.1:{offset + 1000}",
@@ -96,11 +96,11 @@
         return self._read(name, offset, registration)
 
     def remove(self, name, *, offset):
-        """Take the removal of an entry."""
+        """Apply the removal of an entry."""
         return self._read(name, offset, None)
 
     def hear_peer(self, name="front-2", zone=ZONE, in_flight=None, *, can_decide=True):
-        """Hear a heartbeat."""
+        """Receive a heartbeat."""
         heard = HeartbeatReceived(
             now=self.now,
             peer=name,
@@ -118,7 +118,7 @@
         return list(self._control(message))
 
     def tick(self):
-        """Let time pass in both pipelines; returns the orders of both."""
+        """Run a tick in both pipelines; returns the orders of both."""
         ticked = control.ControlTicked(now=self.now, wall=self.now)
         return [*self.tell(ticked), *self.run(messages.Ticked(now=self.now))]
 
@@ -156,7 +156,7 @@
         )
 
     def names(self):
-        """Name the backend servers that may get work."""
+        """List the names of the eligible backend servers."""
         states = self.state.servers.states.values()
         return sorted(each.server.name for each in states if each.is_eligible(self.now))
 
--- a/features/subjects/front_schedules.py
+++ b/features/subjects/front_schedules.py
@@ -15,7 +15,7 @@
 
 
 class FrontSchedule:
-    """One random schedule; ``faults`` lists what must never happen and did."""
+    """One random schedule; ``faults`` lists the violations that were found."""
 
     def __init__(self, *, seed):
         self._random = random.Random(seed)
--- a/features/subjects/load.py
+++ b/features/subjects/load.py
@@ -1,4 +1,4 @@
-"""Subject: callers that keep calling while something happens."""
+"""Subject: callers that send requests without pause."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 class Load:
     """Callers on threads of their own; each keeps one request in progress.
 
-    A caller of a daemon whose listener is closed goes to the next, as the
-    platform's balancer would send it.
+    A caller moves on to the next daemon where a listener is closed, as the
+    platform's balancer would.
     """
 
     system: object
@@ -38,7 +38,7 @@
             thread.start()
 
     def stop(self) -> None:
-        """Let the callers finish."""
+        """Stop the callers after their current requests."""
         self.is_on = False
         for thread in self.threads:
             thread.join(timeout=30)
--- a/features/subjects/measuring.py
+++ b/features/subjects/measuring.py
@@ -21,7 +21,7 @@
 
 
 def find_worst_second(starts: list[tuple[float, float]]) -> float:
-    """Find the most work in any second, from starts and their costs."""
+    """Return the most probe work in any second, from starts and their costs."""
     starts = sorted(starts)
     worst = 0.0
     first = 0
@@ -37,7 +37,7 @@
 
 @dataclass
 class MeasuringSchedule:
-    """One random schedule; every backend server is doubtful and due each second."""
+    """One random schedule; every backend server is due for a probe each second."""
 
     seed: int
     has_lease: bool = True
@@ -117,5 +117,5 @@
         self._clock.schedule(self._random.choice((0.3, 1.0, 6.0)), daemon.thaw)
 
     def find_excess(self) -> float:
-        """Find by how much the worst second exceeds the budget, in slot seconds."""
+        """Return by how much the worst second exceeds the budget, in slot seconds."""
         return find_worst_second(self.starts) - SHARE * SERVERS * SLOTS
--- a/features/subjects/noisy.py
+++ b/features/subjects/noisy.py
@@ -33,7 +33,7 @@
     def start(self, call_id: int, now: float, *, work: float) -> None:
         """Start a request, or queue it.
 
-        :param work: mean seconds that it takes while nothing slows it
+        :param work: mean seconds that it takes without slowdown
         """
         self.works[call_id] = work
         if len(self.running) >= self.slots:
@@ -44,7 +44,7 @@
         self.running[call_id] = now + work * (self.crowded_factor if crowded else 1.0)
 
     def step(self, now: float) -> list[int]:
-        """Let time pass; returns the requests that end."""
+        """Advance to ``now``; returns the requests that end."""
         if now - self.drawn_at >= NOISE_SECONDS:
             self.drawn_at = now
             noisy = self.random.random() < self.noise_share
@@ -71,7 +71,7 @@
         )
 
     def report(self) -> LoadReport:
-        """Report its load."""
+        """Build the current load report."""
         return LoadReport(
             running=len(self.running),
             waiting=len(self.queue),
--- a/features/subjects/publications.py
+++ b/features/subjects/publications.py
@@ -1,4 +1,4 @@
-"""Subject: configurations on the log as readers with gaps see them."""
+"""Subject: configurations on the log, read with gaps."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
     read_to: int = 0
 
     def restart(self, oldest: int) -> None:
-        """Start again with nothing."""
+        """Restart with empty state."""
         self.state = ConfigurationState()
         self.state.chain.begin(start=oldest)
         self.read_to = oldest
 
     def read(self, log: list[Entry], oldest: int) -> None:
-        """Read what is retained."""
+        """Read all retained records."""
         if oldest > self.read_to:
             self.state.chain.begin(start=oldest)
             self.read_to = oldest
@@ -48,7 +48,7 @@
 
 @dataclass
 class PublicationHistory:
-    """A random history; the reader that saw everything says what is true."""
+    """A random history, compared with a reader that reads every record."""
 
     seed: int
     is_naive: bool = False
--- a/features/subjects/schedules.py
+++ b/features/subjects/schedules.py
@@ -24,18 +24,18 @@
 RETRY_SECONDS = 0.5
 RETRY_WINDOW_SECONDS = 7.0
 KEY_RETENTION_SECONDS = 12.0
-# A call is handed over within its time limit, then fenced by the holder's lease.
+# A call is forwarded within its time limit, then fenced by the holder's lease.
 LATEST_START_SECONDS = TIMEOUT_SECONDS + LEASE_SECONDS + 4 * CLOCK_ERROR
 
 
 @dataclass(frozen=True, kw_only=True)
 class Weakening:
-    """A mechanism that is left out, to show that the proof notices.
+    """Which mechanisms are on; tests turn one off to show that the checks detect it.
 
-    :param fence: whether backend servers heed the latest time to start
-    :param history: whether a new holder minds what earlier holders may have run
+    :param fence: whether backend servers obey the latest time to start
+    :param history: whether a new holder considers what earlier holders may have run
     :param holder: whether a key has one holder
-    :param staleness: whether a daemon that was paused refuses what waited unread
+    :param staleness: whether a paused daemon refuses requests that waited unread
     """
 
     fence: bool = True
@@ -45,12 +45,12 @@
 
 
 class LeasesWithoutHolder(LeaseTable):
-    """Every daemon believes that it holds every range."""
+    """Leases under which every daemon holds every range."""
 
     __slots__ = ()
 
     def holds(self, resource: str, now: float, wall: float) -> bool:
-        """Hold whatever is asked for."""
+        """Return true for every known resource."""
         if resource not in self.leases:
             return False
         tenure = Tenure(id=self.incarnation, since=0.0, history_known=True, transfer=None)
@@ -61,12 +61,12 @@
 
 
 class LeasesWithoutHistory(LeaseTable):
-    """A new holder believes that nothing ran before."""
+    """Leases under which a new holder assumes that nothing ran before."""
 
     __slots__ = ()
 
     def holds(self, resource: str, now: float, wall: float) -> bool:
-        """Hold as the lease says, but claim to know all earlier runs."""
+        """Return whether the lease holds, with its history marked as known."""
         held = super().holds(resource, now, wall)
         if held:
             lease = self.leases[resource]
@@ -76,7 +76,7 @@
 
 @dataclass(kw_only=True)
 class Told:
-    """What a caller was told about one attempt."""
+    """The outcome that a caller received for one attempt."""
 
     at: float
     key: str
@@ -87,7 +87,7 @@
 
 @dataclass(kw_only=True)
 class KeyedSchedule:
-    """One random schedule; everything is drawn from its seed."""
+    """One random schedule, fully determined by its seed."""
 
     seed: int
     weakening: Weakening = field(default_factory=Weakening)
@@ -224,7 +224,7 @@
         self._attempt(key, self._clock.now + RETRY_WINDOW_SECONDS)
 
     def _make_timed_key(self) -> str:
-        # Callers' clocks may be wrong by more than the daemons' clocks are.
+        # Callers' clocks may be off by more than the daemons' clock error.
         wall = max(0.0, self._clock.now + self._random.choice((-3.0, 0.0, 0.0, 0.2, 3.0)))
         value = int(wall * 1000) << 80 | 7 << 76 | 2 << 62 | self._random.getrandbits(62)
         return str(uuid.UUID(int=value))
--- a/features/subjects/system.py
+++ b/features/subjects/system.py
@@ -33,7 +33,7 @@
 
 @dataclass
 class System:
-    """A fleet of stand-ins and daemons, and callers of it."""
+    """A fleet of stand-ins and daemons, with methods to call it."""
 
     fleet: Fleet = field(default_factory=Fleet)
     revision: int = 0
@@ -59,7 +59,7 @@
         self.fleet.start_daemon(f"entry-{number}", **chosen)
 
     def build_configuration(self, *, draining=(), tag="x", **options):
-        """Build the configuration of the test's one pool."""
+        """Build the configuration of the test's one service."""
         servers = [
             backend_server(
                 name,
@@ -84,7 +84,7 @@
         )
 
     def publish(self, **options):
-        """Publish a configuration and return what became of it."""
+        """Publish a configuration and return the result."""
         publisher = Publisher(
             log=self.fleet.log.address,
             daemons=[each.endpoint for each in self.fleet.daemons.values()],
@@ -123,7 +123,7 @@
                 return key
 
     def ask(self, daemon: str, method: str, path: str, **options) -> Answer:
-        """Send one request to a daemon and keep the answer."""
+        """Send one request to a daemon and store the answer."""
         timeout = options.pop("timeout", 8.0)
         started = time.monotonic()
         url = f"http://{self.fleet.daemons[daemon].address}{path}"
@@ -149,7 +149,7 @@
         return self.ask(daemon, "POST", path, headers=headers, content=b"two loaves", **options)
 
     def write_in_background(self, daemon: str, key: str | None, **options) -> list[Answer]:
-        """Send one non-idempotent request on a thread; the list gets the answer."""
+        """Send one non-idempotent request on a thread, which appends its answer to the list."""
         got: list[Answer] = []
         thread = threading.Thread(target=lambda: got.append(self.write(daemon, key, **options)))
         thread.start()
@@ -163,7 +163,7 @@
         self.background.clear()
 
     def list_ran(self) -> list[dict]:
-        """List what all live backend servers ran."""
+        """List the requests that all live backend servers ran."""
         return [
             entry
             for name, process in self.fleet.servers.items()
--- a/features/subjects/zone.py
+++ b/features/subjects/zone.py
@@ -30,15 +30,15 @@
 STEP_SECONDS = 0.002
 TICK_STEPS = 10
 BEAT_STEPS = 120
-# From a change at one daemon until its peers know of it.
+# From a load change at one daemon until its peers receive it.
 NEWS_SECONDS = 0.002
-# From one daemon of the zone to another.
+# One-way delay between daemons of the zone.
 ASK_SECONDS = 0.001
-# From a daemon to a backend server, and back.
+# One-way delay between a daemon and a backend server.
 WAY_SECONDS = 0.001
 # Call ids are unique over all daemons.
 IDS_APART = 100_000
-# From a caller to a daemon and back.
+# From a caller to a daemon and back again.
 CALLER_WAY_SECONDS = 0.016
 TAIL_SHARE = 0.03
 TAIL_FACTOR = 7.0
@@ -46,7 +46,7 @@
 
 @dataclass(kw_only=True)
 class Asked:
-    """One caller's request, through all its tries."""
+    """One caller's request, over all its attempts."""
 
     first: float
     tries: int = 0
@@ -57,9 +57,9 @@
     """Callers, daemons and backend servers of one service in one zone.
 
     :param rate: requests a second, as a function of the second
-    :param returns: times that a refused caller comes back, as it was advised
+    :param returns: how often a refused caller retries, each time as advised
     :param noise_share: share of the time in which neighbours slow a backend server
-    :param crowded_factor: slowdown of one that is nearly full
+    :param crowded_factor: slowdown of a backend server that is nearly full
     :param tail_share: share of the requests that take far longer than the rest
     :param tick_steps: steps between the ticks of a daemon
     :param loss: share of the datagrams between daemons that are lost
@@ -92,7 +92,7 @@
     told_not_run: set = field(default_factory=set)
 
     def run(self) -> ZoneCrowd:
-        """Run the pattern."""
+        """Run the load to its end."""
         self._random = random.Random(self.seed)
         self._later: list[tuple[float, int, object]] = []
         self._order = itertools.count()
@@ -127,7 +127,7 @@
         return self
 
     def count_worth(self) -> float:
-        """Count what callers got: a late answer is worth a tenth."""
+        """Return the share of useful answers; a late one counts a tenth."""
         return (self.in_target + 0.1 * self.late) / max(1, self.asked)
 
     def _run_step(self, step: int, second: float) -> None:
@@ -273,7 +273,7 @@
 
 
 def address_order(sender: str, order: object, now: float) -> tuple[str, object]:
-    """Turn an order about slots into the message that the other daemon gets.
+    """Turn an order about slots into the message that the other daemon receives.
 
     :returns: name of the receiver, and the message
     """
--- a/features/subjects/zone_schedules.py
+++ b/features/subjects/zone_schedules.py
@@ -20,7 +20,7 @@
 FRONTS = 3
 SERVERS = 4
 LIMIT_SECONDS = 0.5
-# Time after the last request in which every call must have ended.
+# Time after the last step within which every call must end.
 ENDING_SECONDS = 3.0
 TICK_SECONDS = 0.02
 BEAT_SECONDS = 0.24
@@ -31,7 +31,7 @@
 
 
 class ZoneSchedule:
-    """One random schedule; ``faults`` lists what must never happen and did."""
+    """One random schedule; ``faults`` lists the violations that were found."""
 
     def __init__(self, *, seed):
         self._random = random.Random(seed)
@@ -77,7 +77,7 @@
         return self.faults
 
     def _start(self, name):
-        """Start a daemon, or start it anew with nothing known of before."""
+        """Start a daemon, or restart it with empty state."""
         incarnation = next(self._incarnations)
         front = Front(seed=incarnation, policy="granted_queue", name=name)
         front.now = self.now
@@ -235,7 +235,7 @@
             self._take(name, front.run(left))
 
     def _change_entry(self):
-        """Let each daemon learn at its own time that a backend server leaves or is back."""
+        """Let each daemon read at a time of its own that a backend server is leaving or back."""
         server = f"i-{self._random.randrange(SERVERS)}"
         draining = self._random.random() < 0.5
         self._offset += 1
@@ -268,7 +268,7 @@
         self._start(name)
 
     def _end(self):
-        """Let all time limits pass; then no call may be left anywhere."""
+        """Let all time limits pass; then no call may remain open."""
         self._paused.clear()
         until = self.now + ENDING_SECONDS
         while self.now < until:
