--- a/features/environment.py
+++ b/features/environment.py
@@ -12,10 +12,10 @@
 
 def before_scenario(context, scenario):
     """Create the list in which steps register what to end."""
-    context.endings = []
+    context.cleanups = []
 
 
 def after_scenario(context, scenario):
     """End what the steps registered, in reverse order."""
-    for end in reversed(context.endings):
-        end()
+    for clean_up in reversed(context.cleanups):
+        clean_up()
--- a/features/run.py
+++ b/features/run.py
@@ -27,7 +27,7 @@
     failed: list[str] = field(default_factory=list)
     known: list[str] = field(default_factory=list)
 
-    def note(self, name: str, *, passed: bool, known_red: set[str]) -> None:
+    def count(self, name: str, *, passed: bool, known_red: set[str]) -> None:
         """Count one check or scenario."""
         if passed:
             self.passed.append(name)
@@ -45,25 +45,25 @@
 
 def run_checks(counts: Counts, known_red: set[str]) -> None:
     """Run the formatter, the linter and the type checker."""
-    for name, (program, *words) in CHECKS.items():
-        finished = subprocess.run([BIN / program, *words], cwd=ROOT, check=False)
-        counts.note(name, passed=finished.returncode == 0, known_red=known_red)
+    for name, (program, *arguments) in CHECKS.items():
+        finished = subprocess.run([BIN / program, *arguments], cwd=ROOT, check=False)
+        counts.count(name, passed=finished.returncode == 0, known_red=known_red)
 
 
 def run_features(counts: Counts, known_red: set[str], selected: list[str]) -> None:
     """Run the features with behave and count their scenarios."""
     with tempfile.TemporaryDirectory() as folder:
         report = Path(folder) / "report.json"
-        words = ["-f", "json", "-o", str(report), "-f", "progress2", "--logging-level=WARNING"]
+        arguments = ["-f", "json", "-o", str(report), "-f", "progress2", "--logging-level=WARNING"]
         finished = subprocess.run(
-            [sys.executable, "-m", "behave", *words, *(selected or ["features"])],
+            [sys.executable, "-m", "behave", *arguments, *(selected or ["features"])],
             cwd=ROOT,
             check=False,
         )
         features = json.loads(report.read_text(encoding="utf-8") or "[]")
     scenarios = list_scenarios(features)
     for name, passed in scenarios:
-        counts.note(name, passed=passed, known_red=known_red)
+        counts.count(name, passed=passed, known_red=known_red)
     if not scenarios or (finished.returncode and all(passed for _, passed in scenarios)):
         counts.failed.append("behave itself")
 
--- a/features/soak.py
+++ b/features/soak.py
@@ -33,12 +33,12 @@
     count = 0
     for number in numbers:
         run = SoakRun(seed=number, seconds=seconds, daemons=daemons)
-        broken = run.run()
-        count += bool(broken)
-        told = run.evidence.told
-        served = sum(each.status == 200 for each in told)
-        print(f"seed {number}: {len(told)} requests, {served} served, {len(broken)} broken")
-        for line in [*broken[:10], *(run.notes if broken else [])]:
+        violations = run.run()
+        count += bool(violations)
+        results = run.evidence.results
+        served = sum(each.status == 200 for each in results)
+        print(f"seed {number}: {len(results)} requests, {served} served, {len(violations)} broken")
+        for line in [*violations[:10], *(run.notes if violations else [])]:
             print(f"    {line}", flush=True)
     print(f"{len(numbers) - count} passed, {count} failed")
     raise typer.Exit(1 if count else 0)
--- a/features/soaking/callers.py
+++ b/features/soaking/callers.py
@@ -8,7 +8,7 @@
 import time
 from dataclasses import dataclass, field
 
-__all__ = ["Callers", "Told"]
+__all__ = ["Callers", "RequestResult"]
 
 TIMEOUT_SECONDS = 2.0
 PAUSE_SECONDS = (0.0, 0.03)
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Told:
+class RequestResult:
     """One request and the answer that its caller received.
 
     :param status: ``None`` when the connection ended without a complete answer
@@ -42,7 +42,7 @@
     addresses: dict[str, str]
     seed: int
     count: int
-    told: list[Told] = field(default_factory=list)
+    results: list[RequestResult] = field(default_factory=list)
     _stopping: threading.Event = field(default_factory=threading.Event)
     _threads: list[threading.Thread] = field(default_factory=list)
 
@@ -60,28 +60,30 @@
             thread.join()
 
     def _call(self, number: int) -> None:
-        chance = random.Random(self.seed * 1000 + number)
+        rng = random.Random(self.seed * 1000 + number)
         connection: http.client.HTTPConnection | None = None
         daemon = ""
         sent = 0
         while not self._stopping.is_set():
             if connection is None:
-                daemon = chance.choice(sorted(self.addresses))
+                daemon = rng.choice(sorted(self.addresses))
                 connection = http.client.HTTPConnection(
                     self.addresses[daemon], timeout=TIMEOUT_SECONDS + 1.0
                 )
             sent += 1
-            path = chance.choice(("/write/x", "/write/x", "/read/y"))
+            path = rng.choice(("/write/x", "/write/x", "/read/y"))
             request_id = f"s{self.seed}-{number}-{sent}"
-            told = send(connection, daemon, path, request_id)
-            self.told.append(told)
-            if told.status is None:
+            result = send(connection, daemon, path, request_id)
+            self.results.append(result)
+            if result.status is None:
                 connection.close()
                 connection = None
-            time.sleep(chance.uniform(*PAUSE_SECONDS))
+            time.sleep(rng.uniform(*PAUSE_SECONDS))
 
 
-def send(connection: http.client.HTTPConnection, daemon: str, path: str, request_id: str) -> Told:
+def send(
+    connection: http.client.HTTPConnection, daemon: str, path: str, request_id: str
+) -> RequestResult:
     """Send one request and check its answer."""
     begun = time.monotonic()
     method = "POST" if path.startswith("/write") else "GET"
@@ -102,7 +104,7 @@
             problem = check_answer(answer, text, f"{method} {path}", request_id)
     except (OSError, http.client.HTTPException):
         status = None
-    return Told(
+    return RequestResult(
         request_id=request_id,
         daemon=daemon,
         path=path,
--- a/features/soaking/promises.py
+++ b/features/soaking/guarantees.py
@@ -7,9 +7,9 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from soaking.callers import Told
+    from soaking.callers import RequestResult
 
-__all__ = ["Evidence", "Span", "check_promises"]
+__all__ = ["Evidence", "Span", "check_guarantees"]
 
 # Statuses that state that a request has not run and never will.
 NOT_RUN_STATUSES = {408, 421, 429, 503}
@@ -17,7 +17,7 @@
 # bound is 2 s from the store's answer).
 LEAVING_SECONDS = 2.0
 # A fault may have effects for this long after its end (the platform's stable window).
-AFTERMATH_SECONDS = 3.0
+FAULT_EFFECT_SECONDS = 3.0
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -46,7 +46,7 @@
     :param late: what did not recover or end in time
     """
 
-    told: list[Told] = field(default_factory=list)
+    results: list[RequestResult] = field(default_factory=list)
     arrivals: dict[str, list[tuple[str, float]]] = field(default_factory=dict)
     leavings: list[Span] = field(default_factory=list)
     stops: list[Span] = field(default_factory=list)
@@ -56,40 +56,42 @@
     late: list[str] = field(default_factory=list)
 
 
-def check_promises(evidence: Evidence) -> list[str]:
+def check_guarantees(evidence: Evidence) -> list[str]:
     """List each violated guarantee."""
     runs = Counter(each for arrivals in evidence.arrivals.values() for each, _ in arrivals)
-    broken = [f"{each} ended by itself" for each in evidence.ended]
-    broken += evidence.late
-    for told in evidence.told:
-        broken += check_request(evidence, told, runs[told.request_id])
-    broken += check_leavings(evidence)
+    violations = [f"{each} ended by itself" for each in evidence.ended]
+    violations += evidence.late
+    for result in evidence.results:
+        violations += check_request(evidence, result, runs[result.request_id])
+    violations += check_leavings(evidence)
     for run, versions in evidence.versions.items():
         if versions != sorted(versions):
-            broken.append(f"{run} went back to an older configuration: {versions}")
-    return broken
+            violations.append(f"{run} went back to an older configuration: {versions}")
+    return violations
 
 
-def check_request(evidence: Evidence, told: Told, ran: int) -> list[str]:
+def check_request(evidence: Evidence, result: RequestResult, ran: int) -> list[str]:
     """Check the answer to one request against how often it ran."""
-    broken = []
-    if told.problem:
-        broken.append(f"{told.request_id}: {told.problem}")
-    if told.path.startswith("/write"):
+    violations = []
+    if result.problem:
+        violations.append(f"{result.request_id}: {result.problem}")
+    if result.path.startswith("/write"):
         if ran > 1:
-            broken.append(f"{told.request_id}: a write ran {ran} times")
-        if told.status in NOT_RUN_STATUSES and ran:
-            broken.append(f"{told.request_id}: told {told.status}, but it ran")
-    if told.status is None and ran and is_planned_only(evidence, told):
-        broken.append(f"{told.request_id}: cut off by a planned stop of {told.daemon}")
-    return broken
+            violations.append(f"{result.request_id}: a write ran {ran} times")
+        if result.status in NOT_RUN_STATUSES and ran:
+            violations.append(f"{result.request_id}: told {result.status}, but it ran")
+    if result.status is None and ran and is_planned_only(evidence, result):
+        violations.append(f"{result.request_id}: cut off by a planned stop of {result.daemon}")
+    return violations
 
 
-def is_planned_only(evidence: Evidence, told: Told) -> bool:
+def is_planned_only(evidence: Evidence, result: RequestResult) -> bool:
     """Return whether only a planned stop can have cut a request off."""
-    is_stop = any(overlaps(stop, told.begun, told.ended, told.daemon) for stop in evidence.stops)
+    is_stop = any(
+        overlaps(stop, result.begun, result.ended, result.daemon) for stop in evidence.stops
+    )
     return is_stop and not any(
-        fault.begun <= told.ended and told.begun <= fault.ended + AFTERMATH_SECONDS
+        fault.begun <= result.ended and result.begun <= fault.ended + FAULT_EFFECT_SECONDS
         for fault in evidence.faults
     )
 
@@ -101,17 +103,17 @@
 
 def check_leavings(evidence: Evidence) -> list[str]:
     """Check that a leaving backend server gets no new work, except around faults."""
-    broken = []
+    violations = []
     for leaving in evidence.leavings:
         for request_id, at in evidence.arrivals.get(leaving.subject, []):
             is_late = leaving.begun + LEAVING_SECONDS < at < leaving.ended
-            disturbed = any(
-                fault.begun <= at and leaving.begun <= fault.ended + AFTERMATH_SECONDS
+            is_disturbed = any(
+                fault.begun <= at and leaving.begun <= fault.ended + FAULT_EFFECT_SECONDS
                 for fault in evidence.faults
             )
-            if is_late and not disturbed:
-                broken.append(
+            if is_late and not is_disturbed:
+                violations.append(
                     f"{request_id} went to {leaving.subject}, "
                     f"{at - leaving.begun:.2f} s after it reported that it is leaving"
                 )
-    return broken
+    return violations
--- a/features/soaking/proxy.py
+++ b/features/soaking/proxy.py
@@ -65,7 +65,7 @@
         bind_to(sock, link.address)
 
         async def serve() -> None:
-            await asyncio.start_server(lambda r, w: self._take(link, r, w), sock=sock)
+            await asyncio.start_server(lambda r, w: self._accept(link, r, w), sock=sock)
 
         asyncio.run_coroutine_threadsafe(serve(), self._loop).result()
         self.links[name] = link
@@ -91,7 +91,7 @@
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join()
 
-    async def _take(
+    async def _accept(
         self, link: Link, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         link.writers.add(writer)
@@ -100,25 +100,25 @@
             return
         host, port = link.target.split(":")
         try:
-            far_reader, far_writer = await asyncio.open_connection(host, int(port))
+            target_reader, target_writer = await asyncio.open_connection(host, int(port))
         except OSError:
             reset(writer)
             return
-        link.writers.add(far_writer)
+        link.writers.add(target_writer)
         # Stopping the proxy cancels both directions.
         with contextlib.suppress(asyncio.CancelledError):
             await asyncio.gather(
-                pump(link, reader, far_writer, DROPS_TO_TARGET),
-                pump(link, far_reader, writer, DROPS_TO_CALLER),
+                pump(link, reader, target_writer, DROPS_TO_TARGET),
+                pump(link, target_reader, writer, DROPS_TO_CALLER),
             )
-        link.writers -= {writer, far_writer}
+        link.writers -= {writer, target_writer}
 
 
 async def pump(
     link: Link,
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
-    dropping: set[LinkFault],
+    dropping_faults: set[LinkFault],
 ) -> None:
     """Forward bytes one way until either side ends."""
     is_silent = False
@@ -126,7 +126,7 @@
         while data := await reader.read(READ_BYTES):
             if link.fault is LinkFault.DELAYED:
                 await asyncio.sleep(DELAY_SECONDS)
-            is_silent = is_silent or link.fault in dropping
+            is_silent = is_silent or link.fault in dropping_faults
             if not is_silent:
                 writer.write(data)
                 await writer.drain()
--- a/features/soaking/schedule.py
+++ b/features/soaking/schedule.py
@@ -14,7 +14,7 @@
 from stand_ins.fleet import PlatformPath
 
 from soaking.callers import HOST, Callers
-from soaking.promises import Evidence, Span, check_promises
+from soaking.guarantees import Evidence, Span, check_guarantees
 from soaking.proxy import FaultProxy, LinkFault
 
 if TYPE_CHECKING:
@@ -26,7 +26,7 @@
 CALLERS = 8
 # Time without faults in which all must recover: a read whose answer is lost times out
 # after 6.2 s and is then repeated.
-CALM_SECONDS = 8.0
+RECOVERY_SECONDS = 8.0
 POLL_SECONDS = 0.05
 LINK_FAULTS = tuple(fault for fault in LinkFault if fault is not LinkFault.NONE)
 
@@ -50,26 +50,26 @@
         self._random = random.Random(self.seed)
         self._proxy = FaultProxy()
         self._platform = PlatformPath()
-        self._pending: list[tuple[float, Callable[[], None]]] = []
+        self._scheduled: list[tuple[float, Callable[[], None]]] = []
         self._version = 0
         self._runs: dict[str, int] = {}
         self._down: set[str] = set()
         try:
             self._start()
-            self._disturb()
+            self._inject_faults()
             self._recover()
         finally:
             self._callers.stop()
             if not self._platform.stand_ins.has_ended():
                 self._platform.stand_ins.thaw()
-            self.evidence.told = self._callers.told
+            self.evidence.results = self._callers.results
             self.evidence.arrivals = self._platform.read_arrivals()
             self._platform.stop()
             self._proxy.stop()
-        broken = check_promises(self.evidence)
-        if not broken:
+        violations = check_guarantees(self.evidence)
+        if not violations:
             shutil.rmtree(self._platform.folder)
-        return broken
+        return violations
 
     def _start(self) -> None:
         platform = self._platform
@@ -89,7 +89,7 @@
             platform.wait_ready(name)
         self._callers.start()
 
-    def _disturb(self) -> None:
+    def _inject_faults(self) -> None:
         actions = (
             self._kill,
             self._kill_all,
@@ -99,32 +99,32 @@
             self._fault_link,
             self._fault_store,
             self._pause_stand_ins,
-            self._leave,
+            self._drain_server,
             self._publish,
         )
         end = time.monotonic() + self.seconds
         while time.monotonic() < end:
             self._random.choice(actions)()
             # Depending on the pause, faults follow one another or overlap.
-            self._pass(self._random.choice((0.05, 0.3, 1.0)))
+            self._advance(self._random.choice((0.05, 0.3, 1.0)))
 
-    def _pass(self, seconds: float) -> None:
+    def _advance(self, seconds: float) -> None:
         """Let time pass and run the pending calls that are due."""
         until = time.monotonic() + seconds
         while time.monotonic() < until:
             now = time.monotonic()
-            due = [each for each in self._pending if each[0] <= now]
-            self._pending = [each for each in self._pending if each[0] > now]
+            due = [each for each in self._scheduled if each[0] <= now]
+            self._scheduled = [each for each in self._scheduled if each[0] > now]
             for _, call in due:
                 call()
-            self._look_at_versions()
+            self._check_versions()
             time.sleep(POLL_SECONDS)
 
     def _recover(self) -> None:
-        while self._pending:
-            self._pass(POLL_SECONDS)
+        while self._scheduled:
+            self._advance(POLL_SECONDS)
         self._publish()
-        self._pass(CALM_SECONDS)
+        self._advance(RECOVERY_SECONDS)
         for name in self._runs:
             versions = self.evidence.versions.get(self._name_run(name), [])
             if not versions or versions[-1] != self._version:
@@ -135,7 +135,7 @@
     def _name_run(self, name: str) -> str:
         return f"{name} run {self._runs[name]}"
 
-    def _look_at_versions(self) -> None:
+    def _check_versions(self) -> None:
         """Request from each daemon a route that exists in one version only."""
         for name in self._runs:
             if name in self._down:
@@ -145,10 +145,10 @@
                 self.evidence.ended.append(self._name_run(name))
                 self._down.add(name)
                 continue
-            self._ask_version(name)
+            self._request_version(name)
 
-    def _ask_version(self, name: str) -> None:
-        seen = self.evidence.versions.setdefault(self._name_run(name), [])
+    def _request_version(self, name: str) -> None:
+        versions = self.evidence.versions.setdefault(self._name_run(name), [])
         version = self._random.choice((self._version, max(1, self._version - 1)))
         url = f"http://{self._platform.settings[name]['callers']}/only-{version}/x"
         headers = {"host": HOST, "request-id": f"v{time.monotonic_ns()}"}
@@ -157,12 +157,12 @@
         except httpx.TransportError:
             return
         if status == httpx.codes.OK:
-            seen.append(version)
+            versions.append(version)
 
-    def _later(self, seconds: float, call: Callable[[], None]) -> None:
-        self._pending.append((time.monotonic() + seconds, call))
+    def _schedule(self, seconds: float, call: Callable[[], None]) -> None:
+        self._scheduled.append((time.monotonic() + seconds, call))
 
-    def _note(self, subject: str, seconds: float, what: str) -> None:
+    def _record_fault(self, subject: str, seconds: float, what: str) -> None:
         now = time.monotonic()
         self.notes.append(f"{now:.2f} {subject}: {what} for {seconds:.2f} s")
         self.evidence.faults.append(
@@ -178,19 +178,19 @@
         if name is None:
             return
         seconds = self._random.uniform(0.1, 1.5)
-        self._note(name, seconds, "killed")
+        self._record_fault(name, seconds, "killed")
         self._down.add(name)
         self._platform.daemons[name].kill()
-        self._later(seconds, lambda: self._start_again(name))
+        self._schedule(seconds, lambda: self._restart(name))
 
     def _kill_all(self) -> None:
         for name in sorted(set(self._runs) - self._down):
-            self._note(name, 0.5, "killed with all")
+            self._record_fault(name, 0.5, "killed with all")
             self._down.add(name)
             self._platform.daemons[name].kill()
-            self._later(0.5, lambda name=name: self._start_again(name))
+            self._schedule(0.5, lambda name=name: self._restart(name))
 
-    def _start_again(self, name: str) -> None:
+    def _restart(self, name: str) -> None:
         self._runs[name] += 1
         self._platform.daemons[name].start()
         self._down.discard(name)
@@ -200,16 +200,16 @@
         if name is None:
             return
         seconds = self._random.uniform(0.2, 2.5)
-        self._note(name, seconds, "paused")
+        self._record_fault(name, seconds, "paused")
         self._down.add(name)
         process = self._platform.daemons[name]
         process.freeze()
 
-        def go_on() -> None:
+        def resume() -> None:
             process.thaw()
             self._down.discard(name)
 
-        self._later(seconds, go_on)
+        self._schedule(seconds, resume)
 
     def _stop(self) -> None:
         name = self._choose_daemon()
@@ -225,47 +225,47 @@
         self._down.add(name)
         process.send(signal.SIGTERM)
 
-        def look() -> None:
+        def check_end() -> None:
             if process.has_ended():
-                self._start_again(name)
+                self._restart(name)
             elif time.monotonic() > now + limit + 1.0:
                 self.evidence.late.append(f"{name} did not end within {limit} s of its stop")
                 process.kill()
-                self._start_again(name)
+                self._restart(name)
             else:
-                self._later(0.1, look)
+                self._schedule(0.1, check_end)
 
-        self._later(0.1, look)
+        self._schedule(0.1, check_end)
 
     def _fault_link(self) -> None:
         name = self._random.choice(sorted(self._proxy.links))
         fault = self._random.choice(LINK_FAULTS)
         seconds = self._random.uniform(0.2, 2.5)
-        self._note(name, seconds, fault.value)
+        self._record_fault(name, seconds, fault.value)
         self._proxy.set_fault(name, fault)
-        self._later(seconds, lambda: self._proxy.set_fault(name, LinkFault.NONE))
+        self._schedule(seconds, lambda: self._proxy.set_fault(name, LinkFault.NONE))
 
     def _fault_store(self) -> None:
         faults = self._random.choice(
             ({"down": True}, {"slow_seconds": 0.4}, {"lost_share": 0.4}, {"forget": True})
         )
         seconds = self._random.uniform(0.3, 3.0)
-        self._note("store", seconds, json.dumps(faults))
+        self._record_fault("store", seconds, json.dumps(faults))
         if "forget" in faults:
             self._platform.ask_store("/forget", {})
             return
         self._platform.ask_store("/faults", faults)
-        self._later(seconds, lambda: self._platform.ask_store("/faults", {}))
+        self._schedule(seconds, lambda: self._platform.ask_store("/faults", {}))
 
     def _pause_stand_ins(self) -> None:
         seconds = self._random.uniform(0.1, 1.0)
-        self._note("all backend servers and the store", seconds, "paused")
+        self._record_fault("all backend servers and the store", seconds, "paused")
         self._platform.stand_ins.freeze()
         # They cannot be controlled in the meantime.
         time.sleep(seconds)
         self._platform.stand_ins.thaw()
 
-    def _leave(self) -> None:
+    def _drain_server(self) -> None:
         name = f"i-{self._random.randint(1, SERVERS)}"
         now = time.monotonic()
         if any(each.subject == name and each.ended > now for each in self.evidence.leavings):
@@ -277,7 +277,7 @@
         self.evidence.leavings.append(
             Span(subject=name, begun=now, ended=now + seconds, what="leaves")
         )
-        self._later(seconds + 0.1, lambda: self._platform.mark_ready(name))
+        self._schedule(seconds + 0.1, lambda: self._platform.mark_ready(name))
 
     def _publish(self) -> None:
         self._version += 1
--- a/features/steps/answer_steps.py
+++ b/features/steps/answer_steps.py
@@ -73,7 +73,9 @@
     for number in range(count):
         headers = {"Request-Id": f"id-{number}"}
         name = names[number % len(names)]
-        context.reads.append((number, system.ask(name, "GET", "/stock/1?ms=2", headers=headers)))
+        context.reads.append(
+            (number, system.request(name, "GET", "/stock/1?ms=2", headers=headers))
+        )
 
 
 @when("a write without a key goes through {name}")
@@ -98,7 +100,7 @@
         number, milliseconds, limit = plan
         headers = {"Request-Id": f"id-{number}", "Request-Timeout-Ms": str(limit)}
         path = f"/stock/{number}?ms={milliseconds}"
-        return number, system.ask(names[number % len(names)], "GET", path, headers=headers)
+        return number, system.request(names[number % len(names)], "GET", path, headers=headers)
 
     with ThreadPoolExecutor(12) as pool:
         context.reads = list(pool.map(read, plans))
@@ -150,7 +152,7 @@
     other = next(name for name in system.fleet.daemons if name != owner)
     got = []
     thread = threading.Thread(
-        target=lambda: got.append(system.ask(other, "GET", "/stock/1?ms=400"))
+        target=lambda: got.append(system.request(other, "GET", "/stock/1?ms=400"))
     )
     thread.start()
     system.wait_for_ran(1)
@@ -187,13 +189,13 @@
     context.answered = answered
 
     def produce():
-        left = sent
-        while left:
-            part = rng.randbytes(min(left, 50_000))
-            left -= len(part)
+        remaining = sent
+        while remaining:
+            part = rng.randbytes(min(remaining, 50_000))
+            remaining -= len(part)
             yield part
 
-    context.answer = context.system.ask(
+    context.answer = context.system.request(
         name, "POST", f"/stock/big?ms=1&bytes={answered}", content=produce(), timeout=30
     )
 
@@ -230,7 +232,7 @@
 
 
 @when("a caller leaves while its read waits for a slot")
-def leave(context):
+def disconnect(context):
     system = context.system
     address = system.fleet.daemons["entry-1"].address
     fillers = [system.write_in_background("entry-1", None, path="/orders/1?ms=600") for _ in "123"]
@@ -265,10 +267,12 @@
 def end_everywhere(context):
     subject = ExchangeSubject()
     total = len(HEAD) + len(BODY)
-    context.said = {taken: subject.end_after(taken) for taken in range(total + 1)}
+    context.sent_by_bytes = {
+        accepted_bytes: subject.end_after(accepted_bytes) for accepted_bytes in range(total + 1)
+    }
 
 
 @then("it says sent exactly when the whole head had left")
-def check_said(context):
-    for taken, sent in context.said.items():
-        assert sent == (taken >= len(HEAD)), (taken, sent)
+def check_reported_sent(context):
+    for accepted_bytes, sent in context.sent_by_bytes.items():
+        assert sent == (accepted_bytes >= len(HEAD)), (accepted_bytes, sent)
--- a/features/steps/command_steps.py
+++ b/features/steps/command_steps.py
@@ -35,7 +35,7 @@
 
 def write_file(context, name, text):
     folder = tempfile.TemporaryDirectory()
-    context.endings.append(folder.cleanup)
+    context.cleanups.append(folder.cleanup)
     context.path = Path(folder.name) / name
     context.path.write_text(text, encoding="utf-8")
 
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -68,7 +68,7 @@
         seconds, lambda: system.fleet.set_faults(system.fleet.log, down=False)
     )
     up_again.start()
-    context.endings.append(up_again.join)
+    context.cleanups.append(up_again.join)
     context.published = [system.publish(tag="outage")]
 
 
@@ -103,7 +103,7 @@
 
 @then("a read through {name} is answered")
 def check_read(context, name):
-    answer = context.system.ask(name, "GET", "/stock/1?ms=5")
+    answer = context.system.request(name, "GET", "/stock/1?ms=5")
     assert answer.status == 200, answer
 
 
--- a/features/steps/keyed_steps.py
+++ b/features/steps/keyed_steps.py
@@ -67,9 +67,9 @@
 
 
 @when("{name} is killed and listed as gone")
-def kill_gone(context, name):
+def kill_and_list_as_gone(context, name):
     system = context.system
-    context.timed_range = system.make_key(held_by=name)
+    context.random_key = system.make_key(held_by=name)
     context.lost_ranges = set(system.fleet.read_status(name)["held"])
     system.fleet.daemons[name].kill()
     system.fleet.set_vm_state(name, "gone")
@@ -77,7 +77,7 @@
 
 @then("within {seconds:d} seconds every range has a holder again")
 def check_held_again(context, seconds):
-    context.taken_after = context.system.fleet.wait_for_holders(ranges=KEY_RANGES, seconds=seconds)
+    context.held_after = context.system.fleet.wait_for_holders(ranges=KEY_RANGES, seconds=seconds)
 
 
 @then("a time-ordered key made now for a range of {name} is run once")
@@ -95,7 +95,7 @@
 
 @then("a random key for a range of {name} is told {code}")
 def check_random(context, name, code):
-    answer = context.system.write("entry-2", context.timed_range)
+    answer = context.system.write("entry-2", context.random_key)
     check_refusal(answer, code, "unknown")
 
 
@@ -107,7 +107,7 @@
     system = context.system
     context.key = system.make_key(held_by=holder)
     system.fleet.daemons[holder].freeze()
-    context.endings.append(system.fleet.daemons[holder].thaw)
+    context.cleanups.append(system.fleet.daemons[holder].thaw)
     context.answer = system.write(caller, context.key)
     time.sleep(seconds)
     system.fleet.daemons[holder].thaw()
@@ -148,15 +148,15 @@
     context.key = str(uuid.uuid4())
     names = list(system.fleet.daemons) * times
     with ThreadPoolExecutor(len(names)) as pool:
-        context.got = list(
+        context.answers = list(
             pool.map(lambda name: system.write(name, context.key, path="/orders/1?ms=200"), names)
         )
 
 
 @then("all answers are the same and the key ran once")
 def check_all_same(context):
-    assert {answer.status for answer in context.got} == {200}, context.got
-    assert len({answer.body for answer in context.got}) == 1
+    assert {answer.status for answer in context.answers} == {200}, context.answers
+    assert len({answer.body for answer in context.answers}) == 1
     assert context.system.fleet.count_runs(context.key) == 1
 
 
@@ -203,14 +203,14 @@
         # The first few are forwarded before the holder is found to be silent.
         assert answer.outcome in ("attempt-not-run", "unknown"), answer
         assert context.system.fleet.count_runs(key) == 0
-    told = [context.written[key].outcome for key in context.dead]
-    assert "attempt-not-run" in told, told
+    outcomes = [context.written[key].outcome for key in context.dead]
+    assert "attempt-not-run" in outcomes, outcomes
 
 
 @given("a platform whose log loses the next {count:d} answers")
 def start_losing(context, count):
     context.system = System()
-    context.endings.append(context.system.stop)
+    context.cleanups.append(context.system.stop)
     context.system.fleet.start_platform()
     context.system.fleet.set_faults(context.system.fleet.log, lose_answers=count)
 
@@ -247,7 +247,7 @@
     assert system.write("entry-1", key).status == 200
     headers = {"Idempotency-Key": key}
     path = "/orders/1?ms=5"
-    context.answer = system.ask("entry-2", "POST", path, headers=headers, content=b"three")
+    context.answer = system.request("entry-2", "POST", path, headers=headers, content=b"three")
 
 
 @then("the second is refused with {name} and outcome {outcome}")
@@ -260,7 +260,7 @@
 def write_hanging(context, limit):
     context.key = str(uuid.uuid4())
     headers = {"Idempotency-Key": context.key, "Request-Timeout-Ms": str(limit)}
-    context.answer = context.system.ask(
+    context.answer = context.system.request(
         "entry-1", "POST", "/orders/1?ms=60000", headers=headers, content=b"two loaves"
     )
 
--- a/features/steps/pattern_steps.py
+++ b/features/steps/pattern_steps.py
@@ -3,17 +3,17 @@
 from __future__ import annotations
 
 from behave import given, then, when
-from subjects.zone import ZoneCrowd
+from subjects.zone import ZoneLoad
 
-CREST_FROM, CREST_TO = 3.0, 5.0
+PEAK_FROM_SECOND, PEAK_TO_SECOND = 3.0, 5.0
 # One daemon, requests without a slow tail, and callers that do not retry.
 ONE_DAEMON = {
-    "fronts": 1,
+    "daemons": 1,
     "work": 0.05,
     "target": 0.2,
     "limit": 0.5,
     "seconds": 8.0,
-    "returns": 0,
+    "caller_retries": 0,
     "tail_share": 0.0,
     "tick_steps": 2,
 }
@@ -27,31 +27,33 @@
 def run_both(context, seed, rate):
     """Run a load with the shared queue and with least in flight, its baseline."""
     context.shared, context.least = (
-        ZoneCrowd(policy=policy, seed=seed, rate=rate, servers=context.servers, **ONE_DAEMON).run()
+        ZoneLoad(policy=policy, seed=seed, rate=rate, servers=context.servers, **ONE_DAEMON).run()
         for policy in ("shared_queue", "least_in_flight")
     )
 
 
 @when("{rate:d} requests a second come for 8 seconds, seed {seed:d}")
-def come_evenly(context, rate, seed):
+def arrive_evenly(context, rate, seed):
     run_both(context, seed, lambda second: rate)
 
 
 @when("requests rise from {low:d} to {high:d} a second and fall again, seed {seed:d}")
-def come_in_crest(context, low, high, seed):
-    run_both(context, seed, lambda second: high if CREST_FROM <= second < CREST_TO else low)
+def arrive_in_peak(context, low, high, seed):
+    run_both(
+        context, seed, lambda second: high if PEAK_FROM_SECOND <= second < PEAK_TO_SECOND else low
+    )
 
 
 @then("the shared queue answers at least {share:d} in 100 within the target")
 def check_share(context, share):
-    reached = 100 * context.shared.in_target / context.shared.asked
+    reached = 100 * context.shared.in_target / context.shared.requests
     assert reached >= share, reached
 
 
 @then("least in flight answers at least {margin:d} in 100 fewer")
 def check_margin(context, margin):
-    shared = 100 * context.shared.in_target / context.shared.asked
-    least = 100 * context.least.in_target / context.least.asked
+    shared = 100 * context.shared.in_target / context.shared.requests
+    least = 100 * context.least.in_target / context.least.requests
     assert shared - least >= margin, (shared, least)
 
 
@@ -63,7 +65,7 @@
 @then("what is refused was not run")
 def check_true(context):
     assert context.shared.refused > 0
-    assert not context.shared.told_not_run & context.shared.ran
+    assert not context.shared.refused_not_run & context.shared.ran
 
 
 @then("nobody waits longer than {limit:d} ms for a refusal")
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -22,7 +22,7 @@
 
 def start(context, servers):
     context.platform = PlatformPath()
-    context.endings.append(context.platform.stop)
+    context.cleanups.append(context.platform.stop)
     context.platform.start(servers=servers)
 
 
@@ -247,13 +247,13 @@
     platform = context.platform
     platform.start_daemon("front-1")
     platform.daemons["front-1"].kill()
-    context.taken = platform.settings["front-1"]["callers"]
-    host, port = context.taken.split(":")
+    context.address = platform.settings["front-1"]["callers"]
+    host, port = context.address.split(":")
     store_host, store_port = platform.store.split(":")
     holder = socket.create_connection(
         (store_host, int(store_port)), source_address=(host, int(port))
     )
-    context.endings.append(holder.close)
+    context.cleanups.append(holder.close)
     platform.daemons["front-1"].start()
 
 
@@ -262,7 +262,7 @@
     process = context.platform.daemons["front-1"]
     wait_until(process.has_ended, seconds=10, what="front-1 ends")
     text = process.log_path.read_text(encoding="utf-8")
-    assert f"{context.taken}: Address already in use" in text, text
+    assert f"{context.address}: Address already in use" in text, text
 
 
 @when("the store goes down and front-1 is killed and started again")
--- a/features/steps/pool_steps.py
+++ b/features/steps/pool_steps.py
@@ -13,23 +13,23 @@
 
 @when("the backend server resets the one that is used again, at once")
 def reset_at_once(context):
-    assert not context.pool.ask()
+    assert not context.pool.send_request()
     context.pool.exchange.stream.reset()
     assert len(context.pool.ends) == 1
 
 
 @when("the backend server resets the one that is used again, after 80 ms")
 def reset_later(context):
-    assert not context.pool.ask()
+    assert not context.pool.send_request()
     context.pool.exchange.started_at -= 0.08
     context.pool.exchange.stream.reset()
 
 
 @then("the next request gets a new connection")
 def check_new(context):
-    assert context.pool.ask()
+    assert context.pool.send_request()
 
 
 @then("the next request uses the other one")
 def check_other(context):
-    assert not context.pool.ask()
+    assert not context.pool.send_request()
--- a/features/steps/reading_steps.py
+++ b/features/steps/reading_steps.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from behave import given, then, when
-from subjects.front import Front, find
+from subjects.store_daemon import StoreDaemon, find
 
 from dotterelgate_core.sharing import select_alive
 from dotterelgate_core.store_reading import (
@@ -17,69 +17,73 @@
 )
 
 TICK_SECONDS = 0.02
-BEAT_STEPS = 12
+HEARTBEAT_STEPS = 12
 
 
 @given("{count:d} fronts of a zone that hear each other")
 def start_fronts(context, count):
-    context.fronts = {f"front-{n}": Front(name=f"front-{n}") for n in range(1, count + 1)}
-    context.reads = dict.fromkeys(context.fronts, 0)
+    context.daemons = {f"front-{n}": StoreDaemon(name=f"front-{n}") for n in range(1, count + 1)}
+    context.reads = dict.fromkeys(context.daemons, 0)
 
 
-def advance(fronts, reads, seconds, silent=(), refused=()):
+def advance(daemons, reads, seconds, silent=(), refused=()):
     """Let time pass; reads succeed at once and their updates reach all that are not silent.
 
     :param refused: daemons whose reads fail
     """
     for step in range(round(seconds / TICK_SECONDS)):
-        for name, front in fronts.items():
+        for name, daemon in daemons.items():
             if name in silent:
                 continue
-            front.now += TICK_SECONDS
-            others = [other for other in fronts if other not in (name, *silent)]
-            if step % BEAT_STEPS == 0:
+            daemon.now += TICK_SECONDS
+            others = [other for other in daemons if other not in (name, *silent)]
+            if step % HEARTBEAT_STEPS == 0:
                 for other in others:
-                    front.hear_peer(other)
-            orders = front.tick()
+                    daemon.receive_heartbeat(other)
+            orders = daemon.tick()
             if name in refused:
-                refuse_reads(front, orders)
-            elif answer_reads(front, orders):
+                refuse_reads(daemon, orders)
+            elif answer_reads(daemon, orders):
                 reads[name] += 1
                 for other in others:
-                    news = RegistryUpdateReceived(now=fronts[other].now, recovered_at=float("-inf"))
-                    fronts[other].tell(news)
+                    update = RegistryUpdateReceived(
+                        now=daemons[other].now, recovered_at=float("-inf")
+                    )
+                    daemons[other].run_control(update)
 
 
-def answer_reads(front, orders):
+def answer_reads(daemon, orders):
     """Answer a daemon's reads; returns whether it read the registry."""
-    take_configuration_order(front, orders)
+    answer_first_configuration_read(daemon, orders)
     if find(orders, ReadRegistry) is None:
         return False
-    front.tell(RegistryReadEnded(now=front.now))
+    daemon.run_control(RegistryReadEnded(now=daemon.now))
     return True
 
 
-def refuse_reads(front, orders):
+def refuse_reads(daemon, orders):
     """Let all reads of this daemon fail, its waiting read included."""
     if find(orders, ReadRegistry) is not None:
-        front.tell(RegistryReadFailed(now=front.now, reason="the store refused the read"))
-    if front.reading.configuration.is_reading:
-        front.tell(ConfigurationReadFailed(now=front.now, reason="the store refused the read"))
+        daemon.run_control(RegistryReadFailed(now=daemon.now, reason="the store refused the read"))
+    if daemon.reading.configuration.is_reading:
+        daemon.run_control(
+            ConfigurationReadFailed(now=daemon.now, reason="the store refused the read")
+        )
 
 
-def take_configuration_order(front, orders):
+def answer_first_configuration_read(daemon, orders):
     """Answer the first read of the configuration; later ones wait for a new version."""
-    reading = front.reading.configuration
+    reading = daemon.reading.configuration
     if find(orders, ReadConfiguration) is not None and not reading.has_read:
-        front.tell(ConfigurationReadEnded(now=front.now))
+        daemon.run_control(ConfigurationReadEnded(now=daemon.now))
 
 
 def list_waiting(context, silent=()):
     """List the daemons that wait for a new configuration at the store."""
     return [
         name
-        for name, front in context.fronts.items()
-        if front.reading.configuration.is_reading and name not in silent
+        for name, daemon in context.daemons.items()
+        if daemon.reading.configuration.is_reading and name not in silent
     ]
 
 
@@ -96,7 +100,7 @@
 
 @then("{count:d} others wait for a new configuration within {seconds:g} s")
 def check_others_wait(context, count, seconds):
-    advance(context.fronts, context.reads, seconds, silent=context.silent)
+    advance(context.daemons, context.reads, seconds, silent=context.silent)
     assert len(list_waiting(context, context.silent)) == count, list_waiting(context)
 
 
@@ -104,23 +108,25 @@
 def fail_reads(context, seconds):
     context.orders = 0
     for _ in range(round(seconds / TICK_SECONDS)):
-        for front in context.fronts.values():
-            front.now += TICK_SECONDS
-            if find(front.tick(), ReadConfiguration) is not None:
+        for daemon in context.daemons.values():
+            daemon.now += TICK_SECONDS
+            if find(daemon.tick(), ReadConfiguration) is not None:
                 context.orders += 1
-                front.tell(ConfigurationReadFailed(now=front.now, reason="the store is down"))
+                daemon.run_control(
+                    ConfigurationReadFailed(now=daemon.now, reason="the store is down")
+                )
 
 
 @then("the configuration was asked for at most {count:d} times a second by each")
-def check_asked(context, count):
-    assert 0 < context.orders <= count * len(context.fronts) * 10, context.orders
+def check_request_rate(context, count):
+    assert 0 < context.orders <= count * len(context.daemons) * 10, context.orders
 
 
 @when("{seconds:d} s pass with news reaching all")
-def pass_with_news(context, seconds):
-    advance(context.fronts, context.reads, 1.0)
-    context.reads = dict.fromkeys(context.fronts, 0)
-    advance(context.fronts, context.reads, seconds)
+def pass_with_updates(context, seconds):
+    advance(context.daemons, context.reads, 1.0)
+    context.reads = dict.fromkeys(context.daemons, 0)
+    advance(context.daemons, context.reads, seconds)
 
 
 @then("one of them read the registry, between {low:d} and {high:d} times")
@@ -133,18 +139,18 @@
 @when("the reader falls silent")
 def silence(context):
     context.silent = max(context.reads, key=context.reads.get)
-    context.reads = dict.fromkeys(context.fronts, 0)
+    context.reads = dict.fromkeys(context.daemons, 0)
 
 
 @then("another reads within {seconds:g} s")
 def check_takeover(context, seconds):
-    advance(context.fronts, context.reads, seconds, silent=(context.silent,))
+    advance(context.daemons, context.reads, seconds, silent=(context.silent,))
     assert sum(context.reads.values()) > 0, context.reads
 
 
 @when("the store turns those away for {seconds:d} s")
-def turn_away(context, seconds):
-    advance(context.fronts, context.reads, seconds, refused=tuple(context.waiting))
+def fail_reads_of_waiting(context, seconds):
+    advance(context.daemons, context.reads, seconds, refused=tuple(context.waiting))
 
 
 @then("1 or more others wait for a new configuration")
@@ -153,30 +159,30 @@
 
 
 @given("a front that hears {peers:d} daemons of other zones")
-def hear_far(context, peers):
-    context.front = Front()
+def start_with_remote_daemons(context, peers):
+    context.daemon = StoreDaemon()
     for number in range(peers):
-        context.front.hear_peer(f"far-{number}", zone="south")
-    context.far = peers
+        context.daemon.receive_heartbeat(f"far-{number}", zone="south")
+    context.remote_daemons = peers
 
 
 @when("{seconds:d} s pass without a word of them")
-def pass_without_word(context, seconds):
-    context.front.now += seconds
+def pass_without_heartbeats(context, seconds):
+    context.daemon.now += seconds
 
 
 @then("it {still} takes them for alive")
 def check_alive(context, still):
-    alive = select_alive(context.front.state, context.front.now, "south")
-    assert len(alive) == (context.far if still == "still" else 0), len(alive)
+    alive = select_alive(context.daemon.state, context.daemon.now, "south")
+    assert len(alive) == (context.remote_daemons if still == "still" else 0), len(alive)
 
 
 @when("all have just started and no heartbeat has come")
 def start_all(context):
-    for front in context.fronts.values():
-        for _ in range(BEAT_STEPS):
-            front.now += TICK_SECONDS
-            take_configuration_order(front, front.tick())
+    for daemon in context.daemons.values():
+        for _ in range(HEARTBEAT_STEPS):
+            daemon.now += TICK_SECONDS
+            answer_first_configuration_read(daemon, daemon.tick())
 
 
 @then("none of them waits for a new configuration")
--- a/features/steps/schedule_steps.py
+++ b/features/steps/schedule_steps.py
@@ -4,12 +4,12 @@
 
 from behave import given, then, when
 from subjects.core import CoreDaemon
-from subjects.schedules import KeyedSchedule, Weakening
+from subjects.schedules import KeyedSchedule, Mechanisms
 
-WEAKENINGS = {
-    "the single holder": Weakening(holder=False),
-    "the earlier holders' history": Weakening(history=False),
-    "the latest time to start": Weakening(fence=False),
+MECHANISMS = {
+    "the single holder": Mechanisms(holder=False),
+    "the earlier holders' history": Mechanisms(history=False),
+    "the latest time to start": Mechanisms(fence=False),
 }
 
 
@@ -20,10 +20,10 @@
 
 
 @given("{count:d} random schedules from seed {seed:d} without {mechanism}")
-def make_weak_schedules(context, count, seed, mechanism):
-    weakening = WEAKENINGS[mechanism]
+def make_schedules_without(context, count, seed, mechanism):
+    mechanisms = MECHANISMS[mechanism]
     context.schedules = [
-        KeyedSchedule(seed=seed + each, weakening=weakening) for each in range(count)
+        KeyedSchedule(seed=seed + each, mechanisms=mechanisms) for each in range(count)
     ]
     context.until_fault = True
 
--- a/features/steps/server_steps.py
+++ b/features/steps/server_steps.py
@@ -35,7 +35,7 @@
 )
 def start_cut(context, daemons, servers):
     context.system = System()
-    context.endings.append(context.system.stop)
+    context.cleanups.append(context.system.stop)
     fleet = context.system.fleet
     list_vm = fleet.list_vm
 
@@ -107,7 +107,7 @@
 )
 def start_measured(context, daemons, servers, share):
     context.system = System(options={"measuring_share": share})
-    context.endings.append(context.system.stop)
+    context.cleanups.append(context.system.stop)
     context.system.start(daemons=daemons, servers=servers, lease_length=6)
     context.budget = share * servers * SLOTS
 
@@ -119,7 +119,7 @@
         system.fleet.set_faults(process, draining=True)
     for name in system.fleet.daemons:
         for _ in range(6):
-            system.ask(name, "GET", "/stock/1?ms=1")
+            system.request(name, "GET", "/stock/1?ms=1")
     time.sleep(3)
 
 
--- a/features/steps/slot_steps.py
+++ b/features/steps/slot_steps.py
@@ -6,8 +6,8 @@
 import time
 
 from behave import given, then, when
-from subjects.front import Front, find
-from subjects.zone import ZoneCrowd
+from subjects.store_daemon import StoreDaemon, find
+from subjects.zone import ZoneLoad
 from subjects.zone_schedules import ZoneSchedule
 
 from dotterelgate_core import codes, messages
@@ -24,10 +24,10 @@
 )
 from dotterelgate_daemon.explanation import explain_route
 
-SWING = 0.55
+AMPLITUDE = 0.55
 PERIOD_SECONDS = 6.0
 TICK_SECONDS = 0.02
-FAR_DAEMONS = 8
+REMOTE_DAEMONS = 8
 
 
 @given("{servers:d} backend servers and a wave around {rate:d} requests a second, seed {seed:d}")
@@ -35,14 +35,14 @@
     context.wave = {
         "servers": servers,
         "seed": seed,
-        "rate": lambda s: rate * (1 + SWING * math.sin(2 * math.pi * s / PERIOD_SECONDS)),
+        "rate": lambda s: rate * (1 + AMPLITUDE * math.sin(2 * math.pi * s / PERIOD_SECONDS)),
     }
 
 
 @when("{daemons:d} daemons of a zone serve it with granted slots")
 def serve(context, daemons):
-    context.daemons = daemons
-    context.granted = ZoneCrowd(policy="granted_queue", fronts=daemons, **context.wave).run()
+    context.daemon_count = daemons
+    context.granted = ZoneLoad(policy="granted_queue", daemons=daemons, **context.wave).run()
 
 
 @when(
@@ -50,29 +50,31 @@
     "{share:d} in 100 datagrams are lost"
 )
 def serve_with_loss(context, daemons, share):
-    context.daemons = daemons
-    context.granted = ZoneCrowd(
-        policy="granted_queue", fronts=daemons, loss=share / 100, **context.wave
+    context.daemon_count = daemons
+    context.granted = ZoneLoad(
+        policy="granted_queue", daemons=daemons, loss=share / 100, **context.wave
     ).run()
 
 
 @then("at least {share:d} in 100 of what one daemon alone answers within the target are")
 def compare_with_one(context, share):
-    alone = ZoneCrowd(policy="granted_queue", fronts=1, **context.wave).run()
-    reached = context.granted.in_target / context.granted.asked
-    possible = alone.in_target / alone.asked
+    alone = ZoneLoad(policy="granted_queue", daemons=1, **context.wave).run()
+    reached = context.granted.in_target / context.granted.requests
+    possible = alone.in_target / alone.requests
     assert reached >= share / 100 * possible, (reached, possible)
 
 
 @then("at most {share:d} in 100 requests find their backend server full")
 def check_full(context, share):
-    found = context.granted.queued_at_server / context.granted.asked
+    found = context.granted.queued_at_server / context.granted.requests
     assert found <= share / 100, found
 
 
 @then("more requests are answered within the target than where each daemon chooses")
 def compare_with_shared(context):
-    context.shared = ZoneCrowd(policy="shared_queue", fronts=context.daemons, **context.wave).run()
+    context.shared = ZoneLoad(
+        policy="shared_queue", daemons=context.daemon_count, **context.wave
+    ).run()
     assert context.granted.in_target > context.shared.in_target, (
         context.granted.in_target,
         context.shared.in_target,
@@ -85,28 +87,28 @@
 
 
 @then("nothing that was told not run has run")
-def check_promises(context):
-    assert not context.granted.told_not_run & context.granted.ran
+def check_not_run(context):
+    assert not context.granted.refused_not_run & context.granted.ran
 
 
 @given("two fronts of which the other owns the service")
 def start_two(context):
-    pair = [Front(policy="granted_queue", name=name) for name in ("front-1", "front-2")]
-    for front in pair:
-        front.configure()
+    pair = [StoreDaemon(policy="granted_queue", name=name) for name in ("front-1", "front-2")]
+    for daemon in pair:
+        daemon.configure()
         for offset in range(3):
-            front.register(f"i-{offset}", offset=offset)
-    for front, other in (pair, reversed(pair)):
-        front.hear_peer(other.state.name)
+            daemon.register(f"i-{offset}", offset=offset)
+    for daemon, other in (pair, reversed(pair)):
+        daemon.receive_heartbeat(other.state.name)
     owner = find_owner(pair[0].state, "s", pair[0].now)
     context.owner = next(each for each in pair if each.state.name == owner)
-    context.front = next(each for each in pair if each.state.name != owner)
+    context.daemon = next(each for each in pair if each.state.name != owner)
 
 
 @when("a read comes and the owner is silent")
-def ask_silent(context):
-    context.began = context.front.now
-    context.call_id, orders = context.front.arrive()
+def request_from_silent_owner(context):
+    context.began = context.daemon.now
+    context.call_id, orders = context.daemon.arrive()
     assert find(orders, RequestSlot) is not None
     pass_time(context)
 
@@ -114,72 +116,72 @@
 def pass_time(context):
     """Let time pass until the call is dispatched; the owner's heartbeats go on."""
     context.dispatch = None
-    while context.dispatch is None and context.front.now - context.began < 1.0:
-        context.front.now += TICK_SECONDS
-        context.front.hear_peer(context.owner.state.name)
-        context.dispatch = find(context.front.tick(), messages.Dispatch)
+    while context.dispatch is None and context.daemon.now - context.began < 1.0:
+        context.daemon.now += TICK_SECONDS
+        context.daemon.receive_heartbeat(context.owner.state.name)
+        context.dispatch = find(context.daemon.tick(), messages.Dispatch)
 
 
 @then("it is dispatched within {limit:d} ms")
 def check_dispatched(context, limit):
     assert context.dispatch is not None
-    assert context.front.now - context.began <= limit / 1000
+    assert context.daemon.now - context.began <= limit / 1000
 
 
 @then("the next read is not asked of that owner")
 def check_next(context):
-    _, orders = context.front.arrive()
+    _, orders = context.daemon.arrive()
     assert find(orders, RequestSlot) is None
     assert find(orders, messages.Dispatch) is not None
 
 
 @when("a write comes, its caller leaves and the grant arrives after that")
-def leave_before_grant(context):
-    front = context.front
-    call_id, orders = front.arrive("/write/x")
+def disconnect_before_grant(context):
+    daemon = context.daemon
+    call_id, orders = daemon.arrive("/write/x")
     assert find(orders, RequestSlot) is not None
-    front.run(messages.CallerDisconnected(now=front.now, call_id=call_id))
-    front.now += TICK_SECONDS
-    context.after = list(front.tick())
-    context.after += grant(front, call_id, "i-1")
+    daemon.run(messages.CallerDisconnected(now=daemon.now, call_id=call_id))
+    daemon.now += TICK_SECONDS
+    context.orders = list(daemon.tick())
+    context.orders += grant(daemon, call_id, "i-1")
 
 
-def grant(front, call_id, server):
+def grant(daemon, call_id, server):
     """Let the owner's grant arrive; returns the orders."""
     granted = SlotGranted(
-        now=front.now, owner="front", call_id=call_id, grant=SlotGrant(server=server)
+        now=daemon.now, owner="front", call_id=call_id, grant=SlotGrant(server=server)
     )
-    return front.run(granted)
+    return daemon.run(granted)
 
 
 @then("the write is not dispatched and the owner is told")
 def check_not_sent(context):
-    assert find(context.after, messages.Dispatch) is None
-    assert find(context.after, WithdrawSlot) is not None
+    assert find(context.orders, messages.Dispatch) is None
+    assert find(context.orders, WithdrawSlot) is not None
 
 
 @when("a read comes and is granted a backend server that has said it leaves")
 def grant_leaving(context):
-    call_id, _ = context.front.arrive()
-    context.front.register("i-1", offset=9, draining=True)
-    context.after = grant(context.front, call_id, "i-1")
+    call_id, _ = context.daemon.arrive()
+    context.daemon.register("i-1", offset=9, draining=True)
+    context.orders = grant(context.daemon, call_id, "i-1")
 
 
 @then("the owner is asked for another one")
-def check_asked_again(context):
-    assert find(context.after, messages.Dispatch) is None
-    assert "i-1" in find(context.after, RequestSlot).request.avoided
+def check_requested_again(context):
+    assert find(context.orders, messages.Dispatch) is None
+    assert "i-1" in find(context.orders, RequestSlot).request.avoided
 
 
 @when("the owner hears the same question three times")
-def ask_three_times(context):
-    _, orders = context.front.arrive()
+def request_three_times(context):
+    _, orders = context.daemon.arrive()
     request = find(orders, RequestSlot).request
     owner = context.owner
-    asked = SlotRequested(
-        now=owner.now, wall=owner.now, requester=context.front.state.name, request=request
+    requested = SlotRequested(
+        now=owner.now, wall=owner.now, requester=context.daemon.state.name, request=request
     )
-    context.grants = [find(owner.run(asked), GrantSlot) for _ in range(3)]
+    context.grants = [find(owner.run(requested), GrantSlot) for _ in range(3)]
 
 
 @then("it grants the same slot each time and counts one request")
@@ -192,12 +194,12 @@
 
 @when("a read comes and the owner says that it knows no such route")
 def deny_route(context):
-    context.began = context.front.now
-    call_id, _ = context.front.arrive()
+    context.began = context.daemon.now
+    call_id, _ = context.daemon.arrive()
     refusal = Refusal(codes.NO_CONFIGURATION, "the owner knows no route")
     for _ in range(2):
-        denied = SlotDenied(now=context.front.now, call_id=call_id, refusal=refusal)
-        context.dispatch = find(context.front.run(denied), messages.Dispatch)
+        denied = SlotDenied(now=context.daemon.now, call_id=call_id, refusal=refusal)
+        context.dispatch = find(context.daemon.run(denied), messages.Dispatch)
 
 
 @when("{count:d} random schedules of three daemons that grant slots are run, from seed {seed:d}")
@@ -215,31 +217,31 @@
 
 
 @when("the owner says that it knows no backend server")
-def forget_servers(context):
-    front = context.front
-    front.now += 1.0
-    front.hear_peer(context.owner.state.name, can_decide=False)
+def report_no_servers(context):
+    daemon = context.daemon
+    daemon.now += 1.0
+    daemon.receive_heartbeat(context.owner.state.name, can_decide=False)
 
 
 @then("the next read is dispatched without a question")
-def check_no_question(context):
-    _, orders = context.front.arrive()
+def check_no_request(context):
+    _, orders = context.daemon.arrive()
     assert find(orders, RequestSlot) is None
     assert find(orders, messages.Dispatch) is not None
 
 
 @when("each explains where a read would go")
 def explain(context):
-    pair = (context.front, context.owner)
-    for front, other in (pair, reversed(pair)):
+    pair = (context.daemon, context.owner)
+    for daemon, other in (pair, reversed(pair)):
         # The explanation reads the clock of the process.
-        front.now = time.monotonic()
-        front.hear_peer(other.state.name)
-        for number in range(FAR_DAEMONS):
-            front.hear_peer(f"far-{number}", zone="south")
+        daemon.now = time.monotonic()
+        daemon.receive_heartbeat(other.state.name)
+        for number in range(REMOTE_DAEMONS):
+            daemon.receive_heartbeat(f"far-{number}", zone="south")
     context.named = [
-        explain_route(front.state, "GET", "h", "/read/x")["owner"]
-        for front in (context.front, context.owner)
+        explain_route(daemon.state, "GET", "h", "/read/x")["owner"]
+        for daemon in (context.daemon, context.owner)
     ]
 
 
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from behave import given, then, when
-from soaking.callers import Told
-from soaking.promises import Evidence, Span, check_promises
+from soaking.callers import RequestResult
+from soaking.guarantees import Evidence, Span, check_guarantees
 from soaking.schedule import SoakRun
 
 LEAVING = "i-1"
@@ -13,22 +13,22 @@
 @when("the soak runs seed {seed:d} for {seconds:d} seconds")
 def soak(context, seed, seconds):
     context.soak = SoakRun(seed=seed, seconds=seconds)
-    context.broken = context.soak.run()
+    context.violations = context.soak.run()
 
 
 @then("no promise was broken")
 def check_none(context):
-    assert not context.broken, [*context.broken, *context.soak.notes]
+    assert not context.violations, [*context.violations, *context.soak.notes]
 
 
 @then("requests were served")
 def check_served(context):
-    assert any(each.status == 200 for each in context.soak.evidence.told)
+    assert any(each.status == 200 for each in context.soak.evidence.results)
 
 
-def tell(request_id, status, *, daemon="front-1"):
+def build_result(request_id, status, *, daemon="front-1"):
     """Build the result that the caller of a write received."""
-    return Told(
+    return RequestResult(
         request_id=request_id,
         daemon=daemon,
         path="/write/x",
@@ -41,7 +41,11 @@
 @given("evidence of a write that ran twice, one told 503 that ran and one cut by a planned stop")
 def collect_requests(context):
     context.evidence = Evidence(
-        told=[tell("twice", 200), tell("promised", 503), tell("cut", None)],
+        results=[
+            build_result("twice", 200),
+            build_result("promised", 503),
+            build_result("cut", None),
+        ],
         arrivals={
             "i-2": [("twice", 100.0), ("promised", 100.0), ("cut", 100.0)],
             "i-3": [("twice", 100.1)],
@@ -58,6 +62,6 @@
 
 
 @then("each of the {count:d} is told as a broken promise")
-def check_told(context, count):
-    broken = check_promises(context.evidence)
-    assert len(broken) == count, broken
+def check_reported(context, count):
+    violations = check_guarantees(context.evidence)
+    assert len(violations) == count, violations
--- a/features/steps/stop_steps.py
+++ b/features/steps/stop_steps.py
@@ -19,7 +19,7 @@
 
 def start_load(context, **options):
     context.load = Load(system=context.system, names=list(context.system.fleet.daemons), **options)
-    context.endings.append(context.load.stop)
+    context.cleanups.append(context.load.stop)
     context.load.start()
     time.sleep(0.5)
 
@@ -94,7 +94,7 @@
 @when("{name} is told to stop and callers still connect to it for {seconds:d} second")
 def stop_lingering(context, name, seconds):
     context.load = Load(system=context.system, names=[name], writes=True)
-    context.endings.append(context.load.stop)
+    context.cleanups.append(context.load.stop)
     context.load.start()
     context.system.fleet.daemons[name].send(signal.SIGTERM)
     began = time.monotonic()
--- a/features/steps/system_steps.py
+++ b/features/steps/system_steps.py
@@ -17,7 +17,7 @@
 def start_system(context, daemons, servers, **settings):
     """Start a system that ends with the scenario."""
     context.system = System()
-    context.endings.append(context.system.stop)
+    context.cleanups.append(context.system.stop)
     context.system.start(daemons=daemons, servers=servers, **settings)
 
 
@@ -43,7 +43,7 @@
     def read(number):
         path = f"/stock/{number}?ms={rng.randint(1, 20)}&bytes={rng.randint(0, size)}"
         headers = {"Request-Id": f"id-{number}"}
-        return number, system.ask(names[number % len(names)], "GET", path, headers=headers)
+        return number, system.request(names[number % len(names)], "GET", path, headers=headers)
 
     with ThreadPoolExecutor(12) as pool:
         context.reads = list(pool.map(read, range(count)))
@@ -74,7 +74,7 @@
 
 @when('a read of "{path}" goes through {name}')
 def read_once(context, path, name):
-    context.answer = context.system.ask(name, "GET", path)
+    context.answer = context.system.request(name, "GET", path)
 
 
 @then("it is refused with {name} and outcome {outcome}")
--- a/features/subjects/chain.py
+++ b/features/subjects/chain.py
@@ -46,18 +46,18 @@
     def run(self) -> None:
         """Run the history and compare every reader with one that read everything."""
         rng = random.Random(self.seed)
-        witness = Reader(chain=Chain(), read_to=0)
-        witness.chain.begin(start=0)
+        reference = Reader(chain=Chain(), read_to=0)
+        reference.chain.begin(start=0)
         readers = [self._make_reader() for _ in range(3)]
         retention = rng.choice((3, 5, 8, 1000))
         for _ in range(self.steps):
             oldest = max(0, len(self.log) - retention)
             self._step(rng, readers, oldest)
-            witness.read(self.log, 0)
+            reference.read(self.log, 0)
         for reader in readers:
             reader.read(self.log, max(0, len(self.log) - retention))
-            self._compare(reader, witness)
-        self.accepted += witness.chain.current is not None
+            self._compare(reader, reference)
+        self.accepted += reference.chain.current is not None
 
     def _make_reader(self) -> Reader:
         chain = Chain()
@@ -74,13 +74,13 @@
             self._claim(reader)
         elif action < 0.9 and self.log:
             # A writer that did not get the answer to its append repeats it.
-            again = rng.choice(self.log[-6:])
-            self.log.append(replace(again, offset=len(self.log)))
+            repeated = rng.choice(self.log[-6:])
+            self.log.append(replace(repeated, offset=len(self.log)))
         else:
-            fresh = Reader(chain=Chain(), read_to=oldest, oldest=oldest)
-            fresh.chain.begin(start=oldest)
-            readers[chosen] = fresh
-            fresh.read(self.log, oldest)
+            restarted = Reader(chain=Chain(), read_to=oldest, oldest=oldest)
+            restarted.chain.begin(start=oldest)
+            readers[chosen] = restarted
+            restarted.read(self.log, oldest)
 
     def _claim(self, reader: Reader) -> None:
         # A frozen claimer appends long after its last read, so the record carries read_to.
@@ -97,10 +97,10 @@
         )
         self.log.append(link)
 
-    def _compare(self, reader: Reader, witness: Reader) -> None:
+    def _compare(self, reader: Reader, reference: Reader) -> None:
         if not reader.chain.known:
             return
-        seen = reader.chain.current.id if reader.chain.current else None
-        true = witness.chain.current.id if witness.chain.current else None
-        if seen != true:
-            self.disagreements.append(f"seed {self.seed}: {seen} instead of {true}")
+        found = reader.chain.current.id if reader.chain.current else None
+        expected = reference.chain.current.id if reference.chain.current else None
+        if found != expected:
+            self.disagreements.append(f"seed {self.seed}: {found} instead of {expected}")
--- a/features/subjects/exchange.py
+++ b/features/subjects/exchange.py
@@ -14,19 +14,19 @@
 class FakeStream:
     """A stream whose kernel buffer accepts only some bytes."""
 
-    def __init__(self, takes):
-        self.takes = takes
+    def __init__(self, accepted_bytes):
+        self.accepted_bytes = accepted_bytes
         self.sent_bytes = 1000
 
     def write(self, data):
         """Accept as many bytes as the kernel would."""
-        self.sent_bytes += min(self.takes, len(data))
+        self.sent_bytes += min(self.accepted_bytes, len(data))
 
 
 class ExchangeSubject:
     """An exchange that loses its connection after some bytes."""
 
-    def end_after(self, takes: int) -> bool:
+    def end_after(self, accepted_bytes: int) -> bool:
         """Lose the connection and return whether the request is reported as sent."""
         ends = []
         exchange = Exchange(
@@ -40,7 +40,7 @@
             completed=lambda: None,
             failed=ends.append,
         )
-        exchange.start(FakeStream(takes))
+        exchange.start(FakeStream(accepted_bytes))
         exchange.fail(Refusal(codes.ANSWER_LOST, "lost"))
         return ends[0].sent
 
@@ -69,7 +69,7 @@
     """A stream that accepts everything."""
 
     def __init__(self, *, receive, lost):
-        super().__init__(takes=1_000_000)
+        super().__init__(accepted_bytes=1_000_000)
         self.receive = receive
         self.lost = lost
         self.is_open = True
@@ -95,13 +95,13 @@
         self.pool = PoolTable(streams=self.streams).find("10.0.0.1:80", limit=10)
         self.ends = []
         for _ in range(2):
-            self.ask()
+            self.send_request()
         for stream in self.streams.establish():
             stream.receive(ANSWER)
         for connection in self.pool.idle:
             connection.idle_since -= idle
 
-    def ask(self):
+    def send_request(self):
         """Send a request; returns whether it opened a new connection."""
         exchange = Exchange(
             method="GET",
--- a/features/subjects/load.py
+++ b/features/subjects/load.py
@@ -27,7 +27,7 @@
     answers: list = field(default_factory=list)
     keys: list[str] = field(default_factory=list)
     wrong: list = field(default_factory=list)
-    is_on: bool = True
+    is_running: bool = True
 
     def start(self, callers: int = 6) -> None:
         """Start the callers."""
@@ -39,14 +39,14 @@
 
     def stop(self) -> None:
         """Stop the callers after their current requests."""
-        self.is_on = False
+        self.is_running = False
         for thread in self.threads:
             thread.join(timeout=30)
 
     def _call(self, number: int) -> None:
         rng = random.Random(SEED + number)
         turn = number
-        while self.is_on:
+        while self.is_running:
             turn += 1
             name = self.names[turn % len(self.names)]
             if self.writes and rng.random() < 0.3:
@@ -57,22 +57,22 @@
 
     def _read(self, name: str, request_id: str, milliseconds: int) -> None:
         headers = {"Request-Id": request_id}
-        answer = self.system.ask(name, "GET", f"/stock/1?ms={milliseconds}", headers=headers)
-        self._note(name, answer, request_id)
+        answer = self.system.request(name, "GET", f"/stock/1?ms={milliseconds}", headers=headers)
+        self._record(name, answer, request_id)
 
     def _write(self, name: str) -> None:
         key = str(uuid.uuid4())
         answer = self.system.write(name, key)
         if answer.status == 200:
             self.keys.append(key)
-        self._note(name, answer, None)
+        self._record(name, answer, None)
 
-    def _note(self, name: str, answer, request_id: str | None) -> None:
+    def _record(self, name: str, answer, request_id: str | None) -> None:
         if "ConnectError" in answer.error:
             return
         self.answers.append((name, answer))
-        is_whole = answer.status == 200
-        if is_whole and request_id is not None:
-            is_whole = json.loads(answer.body)["id"] == request_id
-        if not is_whole and answer.outcome not in ("not-run", "attempt-not-run"):
+        is_complete = answer.status == 200
+        if is_complete and request_id is not None:
+            is_complete = json.loads(answer.body)["id"] == request_id
+        if not is_complete and answer.outcome not in ("not-run", "attempt-not-run"):
             self.wrong.append((name, answer))
--- a/features/subjects/noisy.py
+++ b/features/subjects/noisy.py
@@ -11,12 +11,12 @@
 NOISE_SECONDS = 0.15
 NOISE_SHARE = 0.25
 NOISE_FACTOR = 5.0
-CALM_SHARE = 0.8
+UNCROWDED_SHARE = 0.8
 CROWDED_FACTOR = 1.7
 
 
 @dataclass
-class Noisy:
+class NoisyServer:
     """One backend server whose neighbours slow it down for short spans."""
 
     name: str
@@ -39,7 +39,7 @@
         if len(self.running) >= self.slots:
             self.queue.append(call_id)
             return
-        crowded = len(self.running) + 1 > CALM_SHARE * self.slots
+        crowded = len(self.running) + 1 > UNCROWDED_SHARE * self.slots
         work *= self.random.uniform(0.7, 1.3) * self.slowdown
         self.running[call_id] = now + work * (self.crowded_factor if crowded else 1.0)
 
@@ -53,8 +53,8 @@
         for call_id in ended:
             del self.running[call_id]
             if self.queue:
-                following = self.queue.pop(0)
-                self.start(following, now, work=self.works[following])
+                next_call_id = self.queue.pop(0)
+                self.start(next_call_id, now, work=self.works[next_call_id])
         return ended
 
     def answer_probe(self, now: float) -> ProbeEnded:
--- a/features/subjects/publications.py
+++ b/features/subjects/publications.py
@@ -59,8 +59,8 @@
         rng = random.Random(self.seed)
         self._log: list[Entry] = []
         retention = rng.choice((4, 8, 1000))
-        witness = ConfigurationReader(is_naive=False)
-        witness.restart(0)
+        reference = ConfigurationReader(is_naive=False)
+        reference.restart(0)
         self._accepted: dict[str, int] = {}
         readers = [ConfigurationReader(is_naive=self.is_naive) for _ in range(3)]
         for reader in readers:
@@ -68,9 +68,9 @@
         for _ in range(steps):
             oldest = max(0, len(self._log) - retention)
             self._step(rng, readers, oldest)
-            witness.read(self._log, 0)
-            if witness.state.current is not None:
-                self._accepted[witness.state.current.id] = witness.state.current.revision
+            reference.read(self._log, 0)
+            if reference.state.current is not None:
+                self._accepted[reference.state.current.id] = reference.state.current.revision
 
     def _step(self, rng, readers, oldest) -> None:
         reader = rng.choice(readers)
@@ -84,9 +84,9 @@
         elif action < 0.8:
             self._confirm(reader)
         elif action < 0.9:
-            offer = rng.choice(readers).state.current
-            if offer is not None and not self.is_naive:
-                reader.state.adopt(offer)
+            offered = rng.choice(readers).state.current
+            if offered is not None and not self.is_naive:
+                reader.state.adopt(offered)
             self._check(reader, before)
         elif action < 0.95 and self._log:
             self._repeat(rng.choice(self._log))
@@ -126,7 +126,7 @@
 
     def _repeat(self, entry: Entry) -> None:
         link = entry.link
-        again = Link(
+        repeated = Link(
             id=link.id,
             previous=link.previous,
             offset=len(self._log),
@@ -134,7 +134,7 @@
             oldest=0,
             body=link.body,
         )
-        self._log.append(Entry(link=again, is_confirmation=entry.is_confirmation))
+        self._log.append(Entry(link=repeated, is_confirmation=entry.is_confirmation))
 
     def _append(self, *, id, previous, revision, read_to, is_confirmation=False) -> None:
         body = Configuration(id=id, revision=revision, services=())
--- a/features/subjects/schedules.py
+++ b/features/subjects/schedules.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Weakening:
+class Mechanisms:
     """Which mechanisms are on; tests turn one off to show that the checks detect it.
 
     :param fence: whether backend servers obey the latest time to start
@@ -75,7 +75,7 @@
 
 
 @dataclass(kw_only=True)
-class Told:
+class AttemptResult:
     """The outcome that a caller received for one attempt."""
 
     at: float
@@ -90,8 +90,8 @@
     """One random schedule, fully determined by its seed."""
 
     seed: int
-    weakening: Weakening = field(default_factory=Weakening)
-    told: list[Told] = field(default_factory=list)
+    mechanisms: Mechanisms = field(default_factory=Mechanisms)
+    results: list[AttemptResult] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)
     keys: list[str] = field(default_factory=list)
 
@@ -108,10 +108,10 @@
         self._daemons = {name: self._make_daemon(name) for name in DAEMONS}
         self._meet()
         for number in range(12):
-            self._clock.schedule(self._random.uniform(1, 30), lambda n=number: self._begin_key(n))
+            self._clock.schedule(self._random.uniform(1, 30), lambda n=number: self._start_key(n))
         for _ in range(5):
-            self._clock.schedule(self._random.uniform(1, 32), self._fail_something)
-        self._clock.schedule(LENGTH_SECONDS - 5, self._mend_all)
+            self._clock.schedule(self._random.uniform(1, 32), self._inject_fault)
+        self._clock.schedule(LENGTH_SECONDS - 5, self._restore_all)
         self._clock.run_until(LENGTH_SECONDS + 25)
         self._check()
 
@@ -119,8 +119,8 @@
         def draw(server, call):
             return self._random.expovariate(20) + 0.001
 
-        enforces = self.weakening.fence
-        return ModelServer(clock=self._clock, slots=2, draw=draw, enforces_fence=enforces)
+        enforces_fence = self.mechanisms.fence
+        return ModelServer(clock=self._clock, slots=2, draw=draw, enforces_fence=enforces_fence)
 
     def _make_daemon(self, name: str) -> ModelDaemon:
         self._runs[name] += 1
@@ -137,16 +137,16 @@
             clock_error=CLOCK_ERROR,
             skew=self._random.uniform(-CLOCK_ERROR / 2, CLOCK_ERROR / 2),
         )
-        daemon.freeze_before_orders = lambda orders: self._may_freeze(daemon, orders)
+        daemon.freeze_before_orders = lambda orders: self._freeze_at_random(daemon, orders)
         daemon.configure(self._build_configuration())
-        self._weaken(daemon)
+        self._disable_mechanisms(daemon)
         daemon.start(tick=TICK_SECONDS, poll=POLL_SECONDS)
         return daemon
 
-    def _weaken(self, daemon: ModelDaemon) -> None:
-        if not self.weakening.holder:
+    def _disable_mechanisms(self, daemon: ModelDaemon) -> None:
+        if not self.mechanisms.holder:
             daemon.state.leases.__class__ = LeasesWithoutHolder
-        elif not self.weakening.history:
+        elif not self.mechanisms.history:
             daemon.state.leases.__class__ = LeasesWithoutHistory
 
     def _build_configuration(self) -> Configuration:
@@ -161,7 +161,7 @@
         for daemon in self._daemons.values():
             daemon.add_peers(list(self._daemons.values()))
 
-    def _may_freeze(self, daemon: ModelDaemon, orders) -> bool:
+    def _freeze_at_random(self, daemon: ModelDaemon, orders) -> bool:
         if not any(isinstance(order, (Dispatch, Forward)) for order in orders):
             return False
         if self._random.random() > 0.03:
@@ -176,27 +176,27 @@
         length = self._random.choice((0.3, 2.0, 6.0, 12.0))
         self._clock.schedule(length, daemon.thaw)
 
-    def _fail_something(self) -> None:
+    def _inject_fault(self) -> None:
         name = self._random.choice(DAEMONS)
         daemon = self._daemons[name]
         fault = self._random.choice(("freeze", "freeze", "kill", "outage", "cut", "gone"))
         if fault == "freeze":
             self._freeze(daemon)
         elif fault in ("kill", "gone"):
-            self._kill(name, is_gone=fault == "gone")
+            self._kill(name, is_removed=fault == "gone")
         elif fault == "outage":
             self._log.is_down = True
-            self._clock.schedule(self._random.choice((1, 8)), self._mend_log)
+            self._clock.schedule(self._random.choice((1, 8)), self._restore_log)
         else:
             pair = frozenset((name, self._random.choice(DAEMONS)))
             self._network.partitions.add(pair)
             self._clock.schedule(4, lambda: self._network.partitions.discard(pair))
 
-    def _kill(self, name: str, *, is_gone: bool) -> None:
+    def _kill(self, name: str, *, is_removed: bool) -> None:
         if self._daemons[name].is_dead:
             return
         self._daemons[name].is_dead = True
-        if is_gone:
+        if is_removed:
             for other in self._daemons.values():
                 other.state.peers.removed.add(name)
         self._clock.schedule(self._random.uniform(0.5, 8), lambda: self._restart(name))
@@ -209,14 +209,14 @@
         self._daemons[name] = self._make_daemon(name)
         self._meet()
 
-    def _mend_log(self) -> None:
+    def _restore_log(self) -> None:
         self._log.is_down = False
 
-    def _mend_all(self) -> None:
-        self._mend_log()
-        self._network.partitions.clear()
+    def _restore_all(self) -> None:
+        self._restore_log()
+        self._network.cut.clear()
 
-    def _begin_key(self, number: int) -> None:
+    def _start_key(self, number: int) -> None:
         key = str(uuid.UUID(int=self._random.getrandbits(128), version=4))
         if number % 2:
             key = self._make_timed_key()
@@ -242,8 +242,8 @@
                 return
             is_answered[0] = True
             outcome = Outcome.RAN if refusal is None else refusal.outcome
-            self.told.append(
-                Told(
+            self.results.append(
+                AttemptResult(
                     at=self._clock.now,
                     key=key,
                     attempt=attempt,
@@ -265,7 +265,7 @@
 
         def send():
             self._accepted[attempt] = self._clock.now
-            unread_wait = self._clock.now - sent_at if self.weakening.staleness else 0.0
+            unread_wait = self._clock.now - sent_at if self.mechanisms.staleness else 0.0
             daemon.call({**fields, "unread_wait": unread_wait}, attempt, reply)
 
         daemon.receive(send)
@@ -277,8 +277,8 @@
     def _check(self) -> None:
         runs = [run for server in self._servers.values() for run in server.ledger]
         self._check_runs(runs)
-        for told in self.told:
-            self._check_told(told, runs)
+        for result in self.results:
+            self._check_result(result, runs)
 
     def _check_runs(self, runs) -> None:
         for key in self.keys:
@@ -290,16 +290,16 @@
             if waited > LATEST_START_SECONDS:
                 self.faults.append(f"seed {self.seed}: {run} started after {waited:.1f} s")
 
-    def _check_told(self, told, runs) -> None:
-        attempt_ran = any(run.attempt == told.attempt for run in runs)
-        key_had_run = any(run.key == told.key and run.at < told.at for run in runs)
+    def _check_result(self, result, runs) -> None:
+        attempt_ran = any(run.attempt == result.attempt for run in runs)
+        key_had_run = any(run.key == result.key and run.at < result.at for run in runs)
         is_false = (
-            (told.outcome in (Outcome.NOT_RUN, Outcome.ATTEMPT_NOT_RUN) and attempt_ran)
-            or (told.outcome is Outcome.NOT_RUN and key_had_run)
-            or (told.outcome is Outcome.RAN and not key_had_run)
+            (result.outcome in (Outcome.NOT_RUN, Outcome.ATTEMPT_NOT_RUN) and attempt_ran)
+            or (result.outcome is Outcome.NOT_RUN and key_had_run)
+            or (result.outcome is Outcome.RAN and not key_had_run)
         )
         if is_false:
-            self.faults.append(f"seed {self.seed}: {told} is false")
+            self.faults.append(f"seed {self.seed}: {result} is false")
 
     def count_run_keys(self) -> int:
         """Count the keys that ran."""
--- a/features/subjects/front.py
+++ b/features/subjects/store_daemon.py
@@ -25,7 +25,7 @@
 RETRY_BURST = 1.5
 
 
-class Front:
+class StoreDaemon:
     """One daemon's request and control pipelines, without I/O."""
 
     def __init__(self, *, seed=SEED, policy="shared_queue", name="front-1"):
@@ -79,7 +79,7 @@
             for name in services
         )
         configuration = Configuration(id=str(revision), revision=revision, services=built)
-        return self.tell(
+        return self.run_control(
             ConfigurationStored(now=self.now, configuration=configuration, source="the store")
         )
 
@@ -93,15 +93,15 @@
             is_draining=draining,
             born=born,
         )
-        return self._read(name, offset, registration)
+        return self._apply_registration(name, offset, registration)
 
     def remove(self, name, *, offset):
         """Apply the removal of an entry."""
-        return self._read(name, offset, None)
+        return self._apply_registration(name, offset, None)
 
-    def hear_peer(self, name="front-2", zone=ZONE, in_flight=None, *, can_decide=True):
+    def receive_heartbeat(self, name="front-2", zone=ZONE, in_flight=None, *, can_decide=True):
         """Receive a heartbeat."""
-        heard = HeartbeatReceived(
+        heartbeat = HeartbeatReceived(
             now=self.now,
             peer=name,
             incarnation="a",
@@ -111,16 +111,16 @@
             in_flight=in_flight or {},
             can_decide=can_decide,
         )
-        return self.tell(heard)
+        return self.run_control(heartbeat)
 
-    def tell(self, message):
+    def run_control(self, message):
         """Run a message through the control pipeline."""
         return list(self._control(message))
 
     def tick(self):
         """Run a tick in both pipelines; returns the orders of both."""
         ticked = control.ControlTicked(now=self.now, wall=self.now)
-        return [*self.tell(ticked), *self.run(messages.Ticked(now=self.now))]
+        return [*self.run_control(ticked), *self.run(messages.Ticked(now=self.now))]
 
     def run(self, message):
         """Run a message through the request pipeline."""
@@ -155,14 +155,14 @@
             )
         )
 
-    def names(self):
+    def list_eligible(self):
         """List the names of the eligible backend servers."""
         states = self.state.servers.states.values()
         return sorted(each.server.name for each in states if each.is_eligible(self.now))
 
-    def _read(self, name, offset, registration):
+    def _apply_registration(self, name, offset, registration):
         read = RegistrationRead(now=self.now, name=name, offset=offset, registration=registration)
-        return self.tell(read)
+        return self.run_control(read)
 
 
 def find(orders, kind):
--- a/features/subjects/front_schedules.py
+++ b/features/subjects/store_daemon_schedules.py
@@ -7,32 +7,32 @@
 from dotterelgate_core import codes, messages
 from dotterelgate_core.codes import Refusal
 from dotterelgate_core.loads import LoadReport
-from subjects.front import RETRY_BURST, RETRY_SHARE, Front
+from subjects.store_daemon import RETRY_BURST, RETRY_SHARE, StoreDaemon
 
 STEPS = 250
 SERVERS = 4
 NOT_FULL = LoadReport(running=1, waiting=0, slots=3)
 
 
-class FrontSchedule:
+class StoreDaemonSchedule:
     """One random schedule; ``faults`` lists the violations that were found."""
 
     def __init__(self, *, seed):
         self._random = random.Random(seed)
-        self._front = Front(seed=seed)
-        self._front.configure(1)
+        self._daemon = StoreDaemon(seed=seed)
+        self._daemon.configure(1)
         self._offset = 0
         self._revision = 1
-        self._open = {}
+        self._dispatched = {}
         self._may_have_run = set()
         self._writes = set()
-        self._left = set()
+        self._leaving = set()
         self._requests = 0
-        self._again = 0
-        self._seen = set()
+        self._further_attempts = 0
+        self._sent = set()
         self.faults = []
         for number in range(SERVERS):
-            self._put(f"i-{number}")
+            self._register(f"i-{number}")
 
     def run(self):
         """Run the schedule; returns the faults."""
@@ -42,122 +42,126 @@
             self._answer,
             self._answer,
             self._reject,
-            self._break,
-            self._leave_caller,
+            self._break_connection,
+            self._disconnect_caller,
             self._change_entry,
             self._change_configuration,
         )
         for _ in range(STEPS):
-            self._front.now += self._random.choice((0.0, 0.005, 0.02, 0.1))
-            self._take(self._front.tick())
+            self._daemon.now += self._random.choice((0.0, 0.005, 0.02, 0.1))
+            self._carry_out(self._daemon.tick())
             self._random.choice(actions)()
         allowed = RETRY_BURST + RETRY_SHARE * self._requests
-        if self._again > allowed:
-            self.faults.append(f"{self._again} further attempts of {allowed} allowed")
+        if self._further_attempts > allowed:
+            self.faults.append(f"{self._further_attempts} further attempts of {allowed} allowed")
         return self.faults
 
     def _arrive(self):
         method = self._random.choice(("read", "write"))
         if method == "write":
-            self._writes.add(self._front.next_id + 1)
+            self._writes.add(self._daemon.next_id + 1)
         self._requests += 1
-        _, orders = self._front.arrive(f"/{method}/x", timeout=self._random.choice((0.1, 0.5)))
-        self._take(orders)
-
-    def _pick(self):
-        return self._random.choice(sorted(self._open.items())) if self._open else (None, None)
+        _, orders = self._daemon.arrive(f"/{method}/x", timeout=self._random.choice((0.1, 0.5)))
+        self._carry_out(orders)
+
+    def _pick_call(self):
+        return (
+            self._random.choice(sorted(self._dispatched.items()))
+            if self._dispatched
+            else (None, None)
+        )
 
     def _answer(self):
-        call_id, server = self._pick()
+        call_id, server = self._pick_call()
         if call_id is not None:
-            self._open.pop(call_id)
+            self._dispatched.pop(call_id)
             status = self._random.choice((200, 200, 500))
-            self._take(self._front.answer(call_id, server, status=status, load=NOT_FULL))
+            self._carry_out(self._daemon.answer(call_id, server, status=status, load=NOT_FULL))
 
     def _reject(self):
-        call_id, server = self._pick()
+        call_id, server = self._pick_call()
         if call_id is not None:
-            self._open.pop(call_id)
+            self._dispatched.pop(call_id)
             self._may_have_run.discard(call_id)
-            orders = self._front.answer(call_id, server, status=503, ran=False, load=NOT_FULL)
-            self._take(orders)
+            orders = self._daemon.answer(call_id, server, status=503, ran=False, load=NOT_FULL)
+            self._carry_out(orders)
 
-    def _break(self):
-        call_id, server = self._pick()
+    def _break_connection(self):
+        call_id, server = self._pick_call()
         if call_id is None:
             return
-        self._open.pop(call_id)
+        self._dispatched.pop(call_id)
         sent = self._random.random() < 0.5
         if not sent:
             self._may_have_run.discard(call_id)
-            self._seen.discard(call_id)
+            self._sent.discard(call_id)
         failed = messages.DispatchFailed(
-            now=self._front.now,
+            now=self._daemon.now,
             call_id=call_id,
             server=server,
             sent=sent,
             relay_started=False,
             refusal=Refusal(codes.ANSWER_LOST, "the connection broke"),
         )
-        self._take(self._front.run(failed))
+        self._carry_out(self._daemon.run(failed))
 
-    def _leave_caller(self):
-        call_id, _ = self._pick()
+    def _disconnect_caller(self):
+        call_id, _ = self._pick_call()
         if call_id is not None:
-            left = messages.CallerDisconnected(now=self._front.now, call_id=call_id)
-            self._take(self._front.run(left))
+            disconnected = messages.CallerDisconnected(now=self._daemon.now, call_id=call_id)
+            self._carry_out(self._daemon.run(disconnected))
 
     def _change_entry(self):
         name = f"i-{self._random.randrange(SERVERS)}"
         kind = self._random.choice(("put", "drain", "remove", "old"))
         if kind == "put":
-            self._put(name)
+            self._register(name)
         elif kind == "drain":
-            self._put(name, draining=True)
+            self._register(name, draining=True)
         elif kind == "remove":
             self._offset += 1
-            self._left.add(name)
-            self._take(self._front.remove(name, offset=self._offset))
+            self._leaving.add(name)
+            self._carry_out(self._daemon.remove(name, offset=self._offset))
         else:
-            self._take(self._front.register(name, offset=0))
+            self._carry_out(self._daemon.register(name, offset=0))
 
-    def _put(self, name, *, draining=False):
+    def _register(self, name, *, draining=False):
         self._offset += 1
-        (self._left.add if draining else self._left.discard)(name)
-        orders = self._front.register(name, offset=self._offset, draining=draining)
-        self._take(orders)
+        (self._leaving.add if draining else self._leaving.discard)(name)
+        orders = self._daemon.register(name, offset=self._offset, draining=draining)
+        self._carry_out(orders)
 
     def _change_configuration(self):
         revision = self._random.randrange(self._revision + 3)
-        self._take(self._front.configure(revision))
+        self._carry_out(self._daemon.configure(revision))
         self._revision = max(self._revision, revision)
-        in_force = self._front.state.configuration.current.revision
+        in_force = self._daemon.state.configuration.current.revision
         if in_force != self._revision:
             self.faults.append(f"version {in_force} after {self._revision}")
 
-    def _take(self, orders):
+    def _carry_out(self, orders):
         for order in orders:
             if isinstance(order, messages.SlotFreed):
-                self._take(self._front.run(order))
+                self._carry_out(self._daemon.run(order))
             elif isinstance(order, messages.Dispatch):
-                self._take_dispatch(order)
+                self._record_dispatch(order)
             elif isinstance(order, messages.Cancel):
-                self._open.pop(order.call_id, None)
+                self._dispatched.pop(order.call_id, None)
             elif isinstance(order, messages.RefuseCall):
                 self._check_refusal(order)
 
-    def _take_dispatch(self, order):
+    def _record_dispatch(self, order):
         call_id = order.call_id
         if call_id in self._writes and call_id in self._may_have_run:
             self.faults.append(f"write {call_id} was sent again though it may have run")
-        if order.server.name in self._left:
+        if order.server.name in self._leaving:
             self.faults.append(f"{call_id} was sent to {order.server.name}, which left")
-        self._again += call_id in self._seen
-        self._seen.add(call_id)
+        self._further_attempts += call_id in self._sent
+        self._sent.add(call_id)
         self._may_have_run.add(call_id)
-        self._open[call_id] = order.server.name
+        self._dispatched[call_id] = order.server.name
 
     def _check_refusal(self, order):
-        says_not_run = order.refusal.outcome is codes.Outcome.NOT_RUN
-        if says_not_run and order.call_id in self._may_have_run and order.call_id in self._writes:
+        is_not_run = order.refusal.outcome is codes.Outcome.NOT_RUN
+        if is_not_run and order.call_id in self._may_have_run and order.call_id in self._writes:
             self.faults.append(f"write {order.call_id} was told not run though it may have run")
--- a/features/subjects/system.py
+++ b/features/subjects/system.py
@@ -122,20 +122,20 @@
             if holder == held_by or (held_by is None and holder != not_held_by):
                 return key
 
-    def ask(self, daemon: str, method: str, path: str, **options) -> Answer:
+    def request(self, daemon: str, method: str, path: str, **options) -> Answer:
         """Send one request to a daemon and store the answer."""
         timeout = options.pop("timeout", 8.0)
         started = time.monotonic()
         url = f"http://{self.fleet.daemons[daemon].address}{path}"
         try:
             with httpx.Client(timeout=timeout, trust_env=False) as client:
-                got = client.request(method, url, **options)
+                received = client.request(method, url, **options)
             answer = Answer(
-                status=got.status_code,
-                outcome=got.headers.get("dotterelgate-outcome", ""),
-                code=int(got.headers.get("dotterelgate-code", "-1")),
-                server=got.headers.get("dotterelgate-server", ""),
-                body=got.content,
+                status=received.status_code,
+                outcome=received.headers.get("dotterelgate-outcome", ""),
+                code=int(received.headers.get("dotterelgate-code", "-1")),
+                server=received.headers.get("dotterelgate-server", ""),
+                body=received.content,
             )
         except httpx.HTTPError as error:
             answer = Answer(status=0, error=repr(error))
@@ -146,15 +146,15 @@
     def write(self, daemon: str, key: str | None, *, path="/orders/1?ms=5", **options) -> Answer:
         """Send one non-idempotent request."""
         headers = {"Idempotency-Key": key} if key else {}
-        return self.ask(daemon, "POST", path, headers=headers, content=b"two loaves", **options)
+        return self.request(daemon, "POST", path, headers=headers, content=b"two loaves", **options)
 
     def write_in_background(self, daemon: str, key: str | None, **options) -> list[Answer]:
         """Send one non-idempotent request on a thread, which appends its answer to the list."""
-        got: list[Answer] = []
-        thread = threading.Thread(target=lambda: got.append(self.write(daemon, key, **options)))
+        answers: list[Answer] = []
+        thread = threading.Thread(target=lambda: answers.append(self.write(daemon, key, **options)))
         thread.start()
         self.background.append(thread)
-        return got
+        return answers
 
     def join_background(self) -> None:
         """Wait for requests sent in the background."""
--- a/features/subjects/zone.py
+++ b/features/subjects/zone.py
@@ -24,40 +24,40 @@
     WithdrawSlot,
 )
 from dotterelgate_daemon.mesh import build_load_entry, read_load_update
-from subjects.front import Front
-from subjects.noisy import CROWDED_FACTOR, NOISE_SHARE, Noisy
+from subjects.noisy import CROWDED_FACTOR, NOISE_SHARE, NoisyServer
+from subjects.store_daemon import StoreDaemon
 
 STEP_SECONDS = 0.002
 TICK_STEPS = 10
-BEAT_STEPS = 120
+HEARTBEAT_STEPS = 120
 # From a load change at one daemon until its peers receive it.
-NEWS_SECONDS = 0.002
+LOAD_UPDATE_SECONDS = 0.002
 # One-way delay between daemons of the zone.
-ASK_SECONDS = 0.001
+PEER_NETWORK_SECONDS = 0.001
 # One-way delay between a daemon and a backend server.
-WAY_SECONDS = 0.001
+SERVER_NETWORK_SECONDS = 0.001
 # Call ids are unique over all daemons.
-IDS_APART = 100_000
+CALL_IDS_PER_DAEMON = 100_000
 # From a caller to a daemon and back again.
-CALLER_WAY_SECONDS = 0.016
+CALLER_ROUND_TRIP_SECONDS = 0.016
 TAIL_SHARE = 0.03
 TAIL_FACTOR = 7.0
 
 
 @dataclass(kw_only=True)
-class Asked:
+class CallerRequest:
     """One caller's request, over all its attempts."""
 
-    first: float
-    tries: int = 0
+    first_sent_at: float
+    attempts: int = 0
 
 
 @dataclass(kw_only=True)
-class ZoneCrowd:
+class ZoneLoad:
     """Callers, daemons and backend servers of one service in one zone.
 
     :param rate: requests a second, as a function of the second
-    :param returns: how often a refused caller retries, each time as advised
+    :param caller_retries: how often a refused caller retries, each time as advised
     :param noise_share: share of the time in which neighbours slow a backend server
     :param crowded_factor: slowdown of a backend server that is nearly full
     :param tail_share: share of the requests that take far longer than the rest
@@ -68,14 +68,14 @@
     policy: str
     seed: int
     rate: object
-    fronts: int = 6
+    daemons: int = 6
     servers: int = 6
     slots: int = 3
     work: float = 0.08
     target: float = 0.25
     limit: float = 1.0
     seconds: float = 12.0
-    returns: int = 1
+    caller_retries: int = 1
     loss: float = 0.0
     noise_share: float = NOISE_SHARE
     crowded_factor: float = CROWDED_FACTOR
@@ -85,23 +85,23 @@
     late: int = 0
     refused: int = 0
     lost: int = 0
-    asked: int = 0
+    requests: int = 0
     queued_at_server: int = 0
     refusal_seconds: list[float] = field(default_factory=list)
     ran: set = field(default_factory=set)
-    told_not_run: set = field(default_factory=set)
+    refused_not_run: set = field(default_factory=set)
 
-    def run(self) -> ZoneCrowd:
+    def run(self) -> ZoneLoad:
         """Run the load to its end."""
         self._random = random.Random(self.seed)
-        self._later: list[tuple[float, int, object]] = []
-        self._order = itertools.count()
-        self._fronts = [
-            Front(seed=self.seed * 50 + n, policy=self.policy, name=f"front-{n}")
-            for n in range(self.fronts)
+        self._events: list[tuple[float, int, object]] = []
+        self._sequence = itertools.count()
+        self._daemons = [
+            StoreDaemon(seed=self.seed * 50 + n, policy=self.policy, name=f"front-{n}")
+            for n in range(self.daemons)
         ]
         self._servers = {
-            f"i-{n}": Noisy(
+            f"i-{n}": NoisyServer(
                 f"i-{n}",
                 self.slots,
                 random.Random(self.seed * 100 + n),
@@ -110,166 +110,170 @@
             )
             for n in range(self.servers)
         }
-        for front in self._fronts:
-            front.configure(target=self.target, timeout=self.limit)
+        for daemon in self._daemons:
+            daemon.configure(target=self.target, timeout=self.limit)
             for offset, name in enumerate(self._servers):
-                front.register(name, offset=offset, slots=self.slots)
-        self._calls: dict[tuple[int, int], Asked] = {}
-        self._at: dict[tuple[int, int], str] = {}
-        self.now = begin = self._fronts[0].now
+                daemon.register(name, offset=offset, slots=self.slots)
+        self._calls: dict[tuple[int, int], CallerRequest] = {}
+        self._dispatched: dict[tuple[int, int], str] = {}
+        self.now = begin = self._daemons[0].now
         step = 0
         while self.now - begin < self.seconds + self.limit:
             self._run_step(step, self.now - begin)
             step += 1
             self.now += STEP_SECONDS
-            for front in self._fronts:
-                front.now = self.now
+            for daemon in self._daemons:
+                daemon.now = self.now
         return self
 
-    def count_worth(self) -> float:
+    def compute_useful_share(self) -> float:
         """Return the share of useful answers; a late one counts a tenth."""
-        return (self.in_target + 0.1 * self.late) / max(1, self.asked)
+        return (self.in_target + 0.1 * self.late) / max(1, self.requests)
 
     def _run_step(self, step: int, second: float) -> None:
-        while self._later and self._later[0][0] <= self.now:
-            heapq.heappop(self._later)[2]()
+        while self._events and self._events[0][0] <= self.now:
+            heapq.heappop(self._events)[2]()
         for server in self._servers.values():
             for key in server.step(self.now):
-                self._call_later(WAY_SECONDS, lambda key=key, server=server: self._end(key, server))
-        for number, front in enumerate(self._fronts):
+                self._schedule(
+                    SERVER_NETWORK_SECONDS, lambda key=key, server=server: self._end(key, server)
+                )
+        for number, daemon in enumerate(self._daemons):
             if (step + number) % self.tick_steps == 0:
-                self._take(front, front.tick())
-            if (step + number) % BEAT_STEPS == 0:
-                self._beat(front)
-            self._tell_changes(front)
+                self._carry_out(daemon, daemon.tick())
+            if (step + number) % HEARTBEAT_STEPS == 0:
+                self._send_heartbeat(daemon)
+            self._announce_loads(daemon)
         if second < self.seconds:
             expected = self.rate(second) * STEP_SECONDS
             for _ in range(int(expected) + (self._random.random() < expected % 1)):
-                self.asked += 1
-                self._ask(Asked(first=self.now))
-
-    def _call_later(self, delay: float, call: object) -> None:
-        heapq.heappush(self._later, (self.now + delay, next(self._order), call))
-
-    def _ask(self, asked: Asked) -> None:
-        front = self._random.choice(self._fronts)
-        asked.tries += 1
-        front.next_id = front.next_id or IDS_APART * (1 + self._fronts.index(front))
-        self._calls[(id(front), front.next_id + 1)] = asked
-        left = self.limit - (self.now - asked.first)
-        if left <= 0.0:
+                self.requests += 1
+                self._send_request(CallerRequest(first_sent_at=self.now))
+
+    def _schedule(self, delay: float, call: object) -> None:
+        heapq.heappush(self._events, (self.now + delay, next(self._sequence), call))
+
+    def _send_request(self, request: CallerRequest) -> None:
+        daemon = self._random.choice(self._daemons)
+        request.attempts += 1
+        daemon.next_id = daemon.next_id or CALL_IDS_PER_DAEMON * (1 + self._daemons.index(daemon))
+        self._calls[(id(daemon), daemon.next_id + 1)] = request
+        remaining = self.limit - (self.now - request.first_sent_at)
+        if remaining <= 0.0:
             self.lost += 1
             return
-        _, orders = front.arrive(timeout=left)
-        self._take(front, orders)
+        _, orders = daemon.arrive(timeout=remaining)
+        self._carry_out(daemon, orders)
 
-    def _beat(self, front: Front) -> None:
+    def _send_heartbeat(self, daemon: StoreDaemon) -> None:
         counts = {
             name: each.in_flight
-            for name, each in front.state.servers.states.items()
+            for name, each in daemon.state.servers.states.items()
             if each.in_flight
         }
-        for other in self._fronts:
-            if other is not front:
-                other.hear_peer(front.state.name, in_flight=counts)
+        for other in self._daemons:
+            if other is not daemon:
+                other.receive_heartbeat(daemon.state.name, in_flight=counts)
 
-    def _tell_changes(self, front: Front) -> None:
-        table = front.state.servers
+    def _announce_loads(self, daemon: StoreDaemon) -> None:
+        table = daemon.state.servers
         names = table.changed | table.sampled
         if not names:
             return
         loads = [build_load_entry(table.states[name], self.now) for name in names]
         table.changed.clear()
         table.sampled.clear()
-        update = LoadUpdate(sender=front.state.name, incarnation="a", loads=loads)
-        self._call_later(NEWS_SECONDS, lambda: self._spread(front, update))
+        update = LoadUpdate(sender=daemon.state.name, incarnation="a", loads=loads)
+        self._schedule(LOAD_UPDATE_SECONDS, lambda: self._deliver_loads(daemon, update))
 
-    def _spread(self, front: Front, update: LoadUpdate) -> None:
-        for name in select_listeners(front.state, "s", self.now):
+    def _deliver_loads(self, daemon: StoreDaemon, update: LoadUpdate) -> None:
+        for name in select_listeners(daemon.state, "s", self.now):
             other = self._find(name)
             if other is not None and not self._is_lost():
-                self._take(other, other.tell(read_load_update(update, self.now)))
+                self._carry_out(other, other.run_control(read_load_update(update, self.now)))
 
     def _is_lost(self) -> bool:
         return self.loss > 0.0 and self._random.random() < self.loss
 
-    def _find(self, name: str) -> Front | None:
-        return next((each for each in self._fronts if each.state.name == name), None)
+    def _find(self, name: str) -> StoreDaemon | None:
+        return next((each for each in self._daemons if each.state.name == name), None)
 
-    def _send(self, front: Front, order: object) -> None:
-        name, message = address_order(front.state.name, order, self.now + ASK_SECONDS)
+    def _send_datagram(self, daemon: StoreDaemon, order: object) -> None:
+        name, message = address_order(daemon.state.name, order, self.now + PEER_NETWORK_SECONDS)
         other = self._find(name)
         if other is not None and not self._is_lost():
-            self._call_later(ASK_SECONDS, lambda: self._take(other, other.run(message)))
+            self._schedule(PEER_NETWORK_SECONDS, lambda: self._carry_out(other, other.run(message)))
 
-    def _take(self, front: Front, orders: list) -> None:
+    def _carry_out(self, daemon: StoreDaemon, orders: list) -> None:
         for order in orders:
             if isinstance(order, messages.SlotFreed):
-                self._take(front, front.run(order))
+                self._carry_out(daemon, daemon.run(order))
             elif isinstance(order, messages.Dispatch):
-                key = (id(front), order.call_id)
+                key = (id(daemon), order.call_id)
                 self.ran.add(key)
-                self._at[key] = order.server.name
-                self._call_later(
-                    WAY_SECONDS, lambda key=key, name=order.server.name: self._start(key, name)
+                self._dispatched[key] = order.server.name
+                self._schedule(
+                    SERVER_NETWORK_SECONDS,
+                    lambda key=key, name=order.server.name: self._start(key, name),
                 )
             elif isinstance(order, messages.Relay):
-                self._count_answer(self._calls[(id(front), order.call_id)])
+                self._count_answer(self._calls[(id(daemon), order.call_id)])
             elif isinstance(order, messages.RefuseCall):
-                self._count_refusal((id(front), order.call_id), order)
+                self._count_refusal((id(daemon), order.call_id), order)
             elif isinstance(order, messages.Cancel):
-                self._cancel((id(front), order.call_id))
+                self._cancel((id(daemon), order.call_id))
             elif isinstance(order, (RequestSlot, WithdrawSlot, GrantSlot, QueueSlot, DenySlot)):
-                self._send(front, order)
+                self._send_datagram(daemon, order)
             elif isinstance(order, Probe):
-                self._call_later(
-                    2 * WAY_SECONDS, lambda name=order.server.name: self._probed(front, name)
+                self._schedule(
+                    2 * SERVER_NETWORK_SECONDS,
+                    lambda name=order.server.name: self._end_probe(daemon, name),
                 )
 
     def _start(self, key: tuple, name: str) -> None:
-        if key not in self._at:
+        if key not in self._dispatched:
             return
         server = self._servers[name]
         self.queued_at_server += len(server.running) >= server.slots
         tail = TAIL_FACTOR if self._random.random() < self.tail_share else 1.0
         server.start(key, self.now, work=self.work * tail)
 
-    def _end(self, key: tuple, server: Noisy) -> None:
-        if self._at.pop(key, None) is None:
+    def _end(self, key: tuple, server: NoisyServer) -> None:
+        if self._dispatched.pop(key, None) is None:
             return
-        front = next(each for each in self._fronts if id(each) == key[0])
-        self._take(front, front.answer(key[1], server.name, load=server.report()))
+        daemon = next(each for each in self._daemons if id(each) == key[0])
+        self._carry_out(daemon, daemon.answer(key[1], server.name, load=server.report()))
 
     def _cancel(self, key: tuple) -> None:
-        name = self._at.pop(key, None)
+        name = self._dispatched.pop(key, None)
         if name is not None:
             server = self._servers[name]
             server.running.pop(key, None)
             if key in server.queue:
                 server.queue.remove(key)
 
-    def _probed(self, front: Front, name: str) -> None:
-        answered = self._servers[name].answer_probe(self.now)
-        self._take(front, front.tell(answered))
+    def _end_probe(self, daemon: StoreDaemon, name: str) -> None:
+        probe_ended = self._servers[name].answer_probe(self.now)
+        self._carry_out(daemon, daemon.run_control(probe_ended))
 
-    def _count_answer(self, asked: Asked) -> None:
-        if self.now - asked.first + CALLER_WAY_SECONDS <= self.target:
+    def _count_answer(self, request: CallerRequest) -> None:
+        if self.now - request.first_sent_at + CALLER_ROUND_TRIP_SECONDS <= self.target:
             self.in_target += 1
         else:
             self.late += 1
 
     def _count_refusal(self, key: tuple, order: messages.RefuseCall) -> None:
-        asked = self._calls[key]
+        request = self._calls[key]
         if order.refusal.outcome.value != "not-run":
             self.lost += 1
             return
-        self.told_not_run.add(key)
-        self.refusal_seconds.append(self.now - asked.first)
+        self.refused_not_run.add(key)
+        self.refusal_seconds.append(self.now - request.first_sent_at)
         advice = order.refusal.retry_after
-        if advice is None or asked.tries > self.returns:
+        if advice is None or request.attempts > self.caller_retries:
             self.refused += 1
             return
-        self._call_later(advice + CALLER_WAY_SECONDS, lambda: self._ask(asked))
+        self._schedule(advice + CALLER_ROUND_TRIP_SECONDS, lambda: self._send_request(request))
 
 
 def address_order(sender: str, order: object, now: float) -> tuple[str, object]:
@@ -278,8 +282,8 @@
     :returns: name of the receiver, and the message
     """
     if isinstance(order, RequestSlot):
-        asked = SlotRequested(now=now, wall=now, requester=sender, request=order.request)
-        return order.owner, asked
+        requested = SlotRequested(now=now, wall=now, requester=sender, request=order.request)
+        return order.owner, requested
     if isinstance(order, WithdrawSlot):
         return order.owner, SlotWithdrawn(now=now, call_id=order.call_id)
     if isinstance(order, GrantSlot):
