--- a/features/at_most_once.feature
+++ b/features/at_most_once.feature
@@ -6,20 +6,20 @@
   Scenario: No key runs twice and no "not run" is false in random schedules
     Given 150 random schedules from seed 0
     When they are run on the decision core
-    Then no key ran twice, no told outcome was false and nothing started late
+    Then no key ran twice, no reported outcome was false and nothing started late
     And more than half of the keys ran
 
-  Scenario: The proof notices when a key has no single holder
+  Scenario: The checks detect that a key has no single holder
     Given 5 random schedules from seed 0 without the single holder
     When they are run on the decision core
     Then a fault is found
 
-  Scenario: The proof notices when a new holder ignores what earlier ones may have run
+  Scenario: The checks detect that a new holder ignores what earlier ones may have run
     Given 60 random schedules from seed 0 without the earlier holders' history
     When they are run on the decision core
     Then a fault is found
 
-  Scenario: The proof notices when backend servers do not heed the latest time to start
+  Scenario: The checks detect that backend servers ignore the latest time to start
     Given 20 random schedules from seed 0 without the latest time to start
     When they are run on the decision core
     Then a fault is found
--- a/features/command_line.feature
+++ b/features/command_line.feature
@@ -1,4 +1,4 @@
-Feature: The commands check what they read and say what is wrong
+Feature: The commands validate their input and report what is wrong
 
   Scenario Outline: Settings with <mistake> are refused with one clear line
     Given settings with <mistake>
@@ -30,7 +30,7 @@
       | a name used twice | unique |
       | text for JSON     | JSON   |
 
-  Scenario: The page of result codes says what the code says
+  Scenario: The page of result codes matches the code
     Given the page docs/RESULT-CODES.md
-    Then every result code stands on it with its name, status, outcome and meaning
+    Then every result code is listed on it with its name, status, outcome and meaning
     And numbers and names are unique
--- a/features/configuration.feature
+++ b/features/configuration.feature
@@ -3,19 +3,19 @@
   Scenario: Operators race and exactly one wins
     Given a system of 3 daemons and 1 backend servers
     When 6 operators publish at the same moment
-    Then exactly one was accepted for each revision and the others were told that they lost
+    Then exactly one was accepted for each revision and the others lost the race
     And every daemon has the last accepted configuration in force within 5 seconds
 
   Scenario: An answer to a publication is lost after it took effect
     Given a system of 2 daemons and 1 backend servers
     When the log loses the next answer and an operator publishes
-    Then the operator is told that it is accepted and the revision rose by one
+    Then it is reported as accepted and the revision rose by one
     And every daemon has the last accepted configuration in force within 5 seconds
 
   Scenario: The log goes down in the middle of a publication
     Given a system of 2 daemons and 1 backend servers
     When the log goes down for 2 seconds as an operator publishes
-    Then the operator is told that it is accepted and the revision rose by one
+    Then it is reported as accepted and the revision rose by one
     And every daemon has the last accepted configuration in force within 5 seconds
 
   Scenario: Retention passed before a new VM starts
@@ -33,7 +33,7 @@
   Scenario: An old record is appended again
     Given a system of 2 daemons and 1 backend servers
     When two more configurations are published and the first record is appended again
-    Then no daemon leaves the newest configuration for 2 seconds
+    Then every daemon keeps the newest configuration for 2 seconds
 
   Scenario: A daemon is frozen across two changes
     Given a system of 2 daemons and 1 backend servers
@@ -42,15 +42,15 @@
 
   Scenario: A daemon is frozen across two changes and longer than the retention
     Given a system of 2 daemons and 1 backend servers
-    When the log keeps records for 2 seconds, entry-2 sleeps through two changes and 4 seconds
+    When the log keeps records for 2 seconds, entry-2 is frozen for two changes and 4 seconds
     Then every daemon has the last accepted configuration in force within 5 seconds
 
-  Scenario: Readers that saw the log in part never go back to an older revision
+  Scenario: Readers that read part of the log never return to an older revision
     Given 2000 random histories of publications, republications and retention
     When readers follow them with gaps, restarts and peers
     Then no reader ever had an older or a losing configuration after a newer one
 
-  Scenario: A reader that takes the last record it sees is caught
-    Given 200 random histories read by readers that take the last record
+  Scenario: A reader that accepts the last record it reads is detected
+    Given 200 random histories read by readers that accept the last record
     When readers follow them with gaps, restarts and peers
     Then some reader had an older or a losing configuration
--- a/features/noisy_neighbours.feature
+++ b/features/noisy_neighbours.feature
@@ -1,8 +1,8 @@
 Feature: Work goes where neighbours do not slow it down
 
   Scenario Outline: Requests on noisy backend servers are answered within their target
-    Given 10 backend servers whose neighbours slow each five times in a quarter of the time
-    When 120 requests a second come for 8 seconds, seed <seed>
+    Given 10 backend servers that neighbours slow down five times in a quarter of the time
+    When 120 requests a second arrive for 8 seconds, seed <seed>
     Then the shared queue answers at least 92 in 100 within the target
     And least in flight answers at least 8 in 100 fewer
 
--- a/features/planned_stops.feature
+++ b/features/planned_stops.feature
@@ -1,10 +1,10 @@
 Feature: A planned stop cuts no request off
 
-  Scenario: A daemon that is told to stop under load cuts nobody off and hands its keys over
+  Scenario: A daemon that is told to stop under load cuts no request off and hands its keys over
     Given a system of 3 daemons and 3 backend servers
     And an order that was confirmed through entry-1 for a key that entry-1 holds
     When entry-1 is told to stop while callers read and write through all daemons
-    Then every caller got a whole answer or was told not run
+    Then every caller got a complete answer or a refusal as not run
     And entry-1 ended by itself within 10 seconds
     And the order's key gets the same answer through entry-2 and ran once
 
@@ -12,16 +12,16 @@
     Given a system of 3 daemons and 3 backend servers
     And an order that was confirmed through entry-1 for a key that entry-1 holds
     When all daemons are stopped and started again one by one while callers read and write
-    Then every caller got a whole answer or was told not run
+    Then every caller got a complete answer or a refusal as not run
     And the order's key gets the same answer through entry-1 and ran once
     And the revision in force on every daemon is still the newest
 
   Scenario: A long request in progress outlives the order to stop
     Given a system of 2 daemons and 2 backend servers
     When entry-1 is told to stop while a write of 4000 ms is in progress
-    Then the write is answered whole and entry-1 ended after it
+    Then the write gets a complete answer and entry-1 ended after it
 
-  Scenario: The proof notices a daemon that does not wait for what is in progress
+  Scenario: The checks detect a daemon that does not wait for requests in progress
     Given a system of 1 daemons and 2 backend servers whose daemons stop within 0 seconds
     When entry-1 is told to stop while a write of 3000 ms is in progress
     Then the write was cut off
@@ -29,17 +29,17 @@
   Scenario: The balancer still sends while a daemon begins to stop
     Given a system of 2 daemons and 2 backend servers
     When entry-1 is told to stop and callers still connect to it for 1 second
-    Then every caller got a whole answer or was told not run
+    Then every caller got a complete answer or a refusal as not run
     And no caller was refused
 
-  Scenario: A configuration change in the middle of a stop cuts nobody off
+  Scenario: A configuration change in the middle of a stop cuts no request off
     Given a system of 2 daemons and 3 backend servers
     When entry-1 is told to stop while a configuration drains server-1 under load
-    Then every caller got a whole answer or was told not run
+    Then every caller got a complete answer or a refusal as not run
     And entry-1 ended by itself within 10 seconds
 
-  Scenario: A daemon that stops while the log is down ends within its limit and cuts nobody off
+  Scenario: A daemon that stops while the log is down ends within its limit and cuts no request off
     Given a system of 2 daemons and 2 backend servers whose daemons stop within 4 seconds
     When the log goes down and entry-1 is told to stop while callers read
-    Then every caller got a whole answer or was told not run
+    Then every caller got a complete answer or a refusal as not run
     And entry-1 ended by itself within 8 seconds
--- a/features/platform_path.feature
+++ b/features/platform_path.feature
@@ -1,16 +1,16 @@
 Feature: The platform's path through separate processes
 
-  Scenario: A request is served, and its id leads through the daemon's log
+  Scenario: A request is served, and the daemon's log lines carry its id
     Given the platform with 3 backend servers and 2 daemons
     When a request goes through front-1
     Then a registered backend server ran it once
-    And the log of front-1 tells where it was sent and how it ended
+    And the log of front-1 shows where it was sent and how it ended
 
   Scenario: Configurations come into force everywhere, broken and older ones change nothing
     Given the platform with 2 backend servers and 2 daemons
     When version 12 with the prefix /new/ is written
     Then both daemons serve /new/x within 2 seconds
-    When bytes that are no configuration are written
+    When bytes that are not a configuration are written
     And version 11 with the prefix /old/ is written
     And 1 seconds go by
     Then both daemons still serve /new/x and answer /old/x with 404
@@ -24,36 +24,36 @@
 
   Scenario: A backend server that leaves gets no new work
     Given the platform with 3 backend servers and 2 daemons
-    When i-1 says that it leaves
+    When i-1 reports that it is leaving
     And 2 seconds go by
     Then i-1 runs none of 40 requests
 
-  Scenario: A daemon that knows no configuration says so and is not ready
+  Scenario: A daemon without a configuration refuses requests and is not ready
     Given the platform with 1 backend servers and no configuration
     When front-1 starts
     Then a request through front-1 is answered 503 and front-1 is not ready
 
   Scenario: A planned stop answers what is in progress and ends by itself
     Given the platform with 2 backend servers and 2 daemons
-    When front-1 is told to stop while requests come through it
+    When front-1 is told to stop while requests go through it
     Then every request was answered by a backend server and front-1 ended within its limit
 
-  Scenario: Settings that are not valid end the start with file, key and cure
+  Scenario: Invalid settings end the start with an error that names the file, the key and the value
     Given the platform with 1 backend servers and no configuration
     When front-1 starts with a broken address
     Then it ends and names the file, the key and the value
 
-  Scenario: Requests that come while a daemon starts are served, not refused
+  Scenario: Requests that arrive while a daemon starts are served, not refused
     Given the platform with 2 backend servers and 2 daemons
-    When front-1 is killed and started again beside a slow store while requests come without pause
-    Then each request that front-1 took was answered by a backend server
+    When front-1 is killed and started again with a slow store while requests arrive without pause
+    Then each request that front-1 accepted was answered by a backend server
 
   Scenario: An address that is in use is named
     Given the platform with 1 backend servers and no configuration
     When front-1 starts while an outgoing connection holds its port
     Then it ends and names the address that is in use
 
-  Scenario: A daemon that starts while the store is down serves by what its peers know
+  Scenario: A daemon that starts while the store is down serves with what its peers have
     Given the platform with 2 backend servers and 2 daemons
     When the store goes down and front-1 is killed and started again
     Then front-1 serves within 2 s while the store is down
--- a/features/soak.feature
+++ b/features/soak.feature
@@ -1,8 +1,8 @@
-Feature: The real programs keep their promises under random faults from outside them
+Feature: The real programs keep their guarantees under random faults
 
   Scenario Outline: A short run of seed <seed>
     When the soak runs seed <seed> for 5 seconds
-    Then no promise was broken
+    Then no guarantee was violated
     And requests were served
 
     Examples:
@@ -10,7 +10,7 @@
       | 101  |
       | 102  |
 
-  Scenario: The checks notice what they are there for
-    Given evidence of a write that ran twice, one told 503 that ran and one cut by a planned stop
+  Scenario: The checks detect each kind of violation
+    Given evidence of a write run twice, one refused with 503 that ran and one cut off by a planned stop
     And evidence of late work for a leaving backend server and of an older configuration
-    Then each of the 5 is told as a broken promise
+    Then each of the 5 is reported as a violated guarantee
--- a/features/soaking/guarantees.py
+++ b/features/soaking/guarantees.py
@@ -66,7 +66,7 @@
     violations += check_leavings(evidence)
     for run, versions in evidence.versions.items():
         if versions != sorted(versions):
-            violations.append(f"{run} went back to an older configuration: {versions}")
+            violations.append(f"{run} returned to an older configuration: {versions}")
     return violations
 
 
@@ -79,7 +79,7 @@
         if ran > 1:
             violations.append(f"{result.request_id}: a write ran {ran} times")
         if result.status in NOT_RUN_STATUSES and ran:
-            violations.append(f"{result.request_id}: told {result.status}, but it ran")
+            violations.append(f"{result.request_id}: refused with {result.status}, but it ran")
     if result.status is None and ran and is_planned_only(evidence, result):
         violations.append(f"{result.request_id}: cut off by a planned stop of {result.daemon}")
     return violations
--- a/features/steps/answer_steps.py
+++ b/features/steps/answer_steps.py
@@ -106,7 +106,7 @@
         context.reads = list(pool.map(read, plans))
 
 
-@then("every whole answer is the answer to its own request")
+@then("every complete answer belongs to its own request")
 def check_own(context):
     served = [(number, answer) for number, answer in context.reads if answer.status == 200]
     assert served
@@ -137,7 +137,7 @@
             context.cut = True
 
 
-@then("the caller sees that the answer was cut")
+@then("the caller sees that the answer was cut off")
 def check_cut(context):
     assert context.cut is True
 
@@ -161,7 +161,7 @@
     context.answer = got[0]
 
 
-@then("the read is answered whole")
+@then("the read gets a complete answer")
 def check_answered(context):
     assert context.answer.status == 200, context.answer
 
@@ -200,7 +200,7 @@
     )
 
 
-@then("the backend server got every byte and the caller too")
+@then("the backend server and the caller received every byte")
 def check_large(context):
     assert context.answer.status == 200, (context.answer.status, context.answer.error)
     assert len(context.answer.body) == context.answered
@@ -222,7 +222,7 @@
     context.received = exchange_raw(address, data)
 
 
-@then("three answers come back in turn and the first has no body")
+@then("three answers arrive in order and the first has no body")
 def check_pipeline(context):
     assert context.received.count(b"HTTP/1.1 200") == 3, context.received
     first, second, third = context.received.split(b"HTTP/1.1 200")[1:]
@@ -231,7 +231,7 @@
     assert b'"id": "p2"' in third
 
 
-@when("a caller leaves while its read waits for a slot")
+@when("a caller disconnects while its read waits for a slot")
 def disconnect(context):
     system = context.system
     address = system.fleet.daemons["entry-1"].address
@@ -272,7 +272,7 @@
     }
 
 
-@then("it says sent exactly when the whole head had left")
+@then("it reports the request as sent exactly when the complete head was sent")
 def check_reported_sent(context):
     for accepted_bytes, sent in context.sent_by_bytes.items():
         assert sent == (accepted_bytes >= len(HEAD)), (accepted_bytes, sent)
--- a/features/steps/chain_steps.py
+++ b/features/steps/chain_steps.py
@@ -20,7 +20,7 @@
     context.histories = [ChainHistory(seed=seed, steps=LONG_STEPS) for seed in seeds]
 
 
-@given("{count:d} random histories with claims from readers that only guess")
+@given("{count:d} random histories with claims by readers that only guess")
 def make_guessing(context, count):
     context.histories = [
         ChainHistory(seed=FIRST_SEED + each, strict=False) for each in range(count)
@@ -33,7 +33,7 @@
         history.run()
 
 
-@then("every reader that knows the accepted record names the true one")
+@then("every reader that knows the accepted record has the right one")
 def check_agreement(context):
     found = [each for history in context.histories for each in history.disagreements]
     assert not found, found[:5]
@@ -45,6 +45,6 @@
     assert accepted > len(context.histories) * 0.9, accepted
 
 
-@then("some reader names a wrong record")
+@then("some reader has a wrong record")
 def check_caught(context):
     assert any(history.disagreements for history in context.histories)
--- a/features/steps/command_steps.py
+++ b/features/steps/command_steps.py
@@ -98,7 +98,7 @@
     context.page = (ROOT / path).read_text(encoding="utf-8")
 
 
-@then("every result code stands on it with its name, status, outcome and meaning")
+@then("every result code is listed on it with its name, status, outcome and meaning")
 def check_page(context):
     for code in RESULT_CODES:
         row = f"| {code.number} | {code.name} | {code.status} | {code.outcome.value} | "
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -24,7 +24,7 @@
         )
 
 
-@then("exactly one was accepted for each revision and the others were told that they lost")
+@then("exactly one was accepted for each revision and the others lost the race")
 def check_race(context):
     verdicts = [each.verdict for each in context.published]
     assert set(verdicts) <= {Verdict.ACCEPTED, Verdict.LOST_RACE}, context.published
@@ -52,7 +52,7 @@
     context.published = [system.publish(tag="lost")]
 
 
-@then("the operator is told that it is accepted and the revision rose by one")
+@then("it is reported as accepted and the revision rose by one")
 def check_accepted(context):
     published = context.published[0]
     assert published.verdict is Verdict.ACCEPTED, published
@@ -119,7 +119,7 @@
     system.fleet.client.post(log, json=first)
 
 
-@then("no daemon leaves the newest configuration for {seconds:d} seconds")
+@then("every daemon keeps the newest configuration for {seconds:d} seconds")
 def check_stays(context, seconds):
     system = context.system
     until = time.monotonic() + seconds
@@ -140,7 +140,7 @@
 
 
 @when(
-    "the log keeps records for {kept:d} seconds, {name} sleeps through two changes "
+    "the log keeps records for {kept:d} seconds, {name} is frozen for two changes "
     "and {seconds:d} seconds"
 )
 def freeze_past_retention(context, kept, name, seconds):
@@ -158,7 +158,7 @@
     context.histories = [PublicationHistory(seed=FIRST_SEED + each) for each in range(count)]
 
 
-@given("{count:d} random histories read by readers that take the last record")
+@given("{count:d} random histories read by readers that accept the last record")
 def make_naive(context, count):
     context.histories = [
         PublicationHistory(seed=FIRST_SEED + each, is_naive=True) for each in range(count)
--- a/features/steps/front_steps.py
+++ b/features/steps/front_steps.py
@@ -20,7 +20,7 @@
 IDLE = LoadReport(running=0, waiting=0, slots=3)
 
 
-@given("a front with version {version:d} in force")
+@given("a daemon with version {version:d} in force")
 def start_with_version(context, version):
     context.daemon = StoreDaemon()
     context.daemon.configure(version)
@@ -36,7 +36,7 @@
     assert context.daemon.state.configuration.current.revision == version
 
 
-@given("a front with the entries {first} at {one:d} and {second} at {two:d}")
+@given("a daemon with the entries {first} at {one:d} and {second} at {two:d}")
 def start_with_entries(context, first, one, second, two):
     context.daemon = StoreDaemon()
     context.daemon.configure()
@@ -44,7 +44,7 @@
     context.daemon.register(second, offset=two)
 
 
-@given("a front with {count:d} entries")
+@given("a daemon with {count:d} entries")
 def start_with_many(context, count):
     context.daemon = StoreDaemon()
     context.daemon.configure()
@@ -52,13 +52,13 @@
         context.daemon.register(f"i-{number}", offset=number)
 
 
-@given("a front with no entries")
+@given("a daemon with no entries")
 def start_empty(context):
     context.daemon = StoreDaemon()
     context.daemon.configure()
 
 
-@when("{name} says at {offset:d} that it leaves")
+@when("{name} reports at {offset:d} that it is leaving")
 def leave(context, name, offset):
     context.daemon.register(name, offset=offset, draining=True)
 
@@ -73,7 +73,7 @@
     context.daemon.remove(name, offset=offset)
 
 
-@when("the store was away and returns")
+@when("the store was unavailable and answers again")
 def restore_store(context):
     for _ in range(2):
         failed = RegistryReadFailed(now=context.daemon.now, reason="no answer")
@@ -106,7 +106,7 @@
     context.daemon.register(name, offset=offset, born=2)
 
 
-@then("nothing is held against {name}")
+@then("no failures are recorded for {name}")
 def check_clean(context, name):
     server = context.daemon.state.servers.states[name]
     assert server.failures == 0 and server.view.failure_share == 0.0
@@ -123,7 +123,7 @@
     assert context.daemon.list_eligible() == [first, second], context.daemon.list_eligible()
 
 
-@given("a front whose split route sends {most:d} in 100 to a and {rest:d} to b")
+@given("a daemon whose split route sends {most:d} in 100 to a and {rest:d} to b")
 def start_split(context, most, rest):
     context.daemon = StoreDaemon()
     context.daemon.configure(services=("a", "b"), split=(("a", most), ("b", rest)))
@@ -131,7 +131,7 @@
     context.daemon.register("i-b", offset=2, service="b", slots=200)
 
 
-@when("{count:d} requests of the split route come")
+@when("{count:d} requests of the split route arrive")
 def send_split(context, count):
     orders = [context.daemon.arrive("/split/x")[1] for _ in range(count)]
     context.sent = [find(each, messages.Dispatch).server.name for each in orders]
@@ -209,12 +209,12 @@
         context.daemon.now += 0.01
 
 
-@then("at most {count:d} of them were sent again")
+@then("at most {count:d} of them were dispatched again")
 def check_again(context, count):
     assert 0 < context.further_attempts <= count, context.further_attempts
 
 
-@then("all that are refused are told when to come back, at most a third of their time later")
+@then("all refusals carry a retry time of at most a third of the time limit")
 def check_advice(context):
     assert all(0 < each.retry_after <= 0.5 / 3 for each in context.refusals)
     assert {each.outcome.value for each in context.refusals} == {"not-run"}
@@ -235,7 +235,7 @@
     assert context.count == count, context.count
 
 
-@when("the callers of a read and a write leave after the dispatch")
+@when("the callers of a read and a write disconnect after the dispatch")
 def disconnect_both(context):
     context.orders_by_method = {}
     for method in ("read", "write"):
@@ -250,7 +250,7 @@
     assert find(context.orders_by_method["write"], messages.Cancel) is None
 
 
-@when("{count:d} reads come at once")
+@when("{count:d} reads arrive at once")
 def come_at_once(context, count):
     context.refused = [find(context.daemon.arrive()[1], messages.RefuseCall) for _ in range(count)]
 
@@ -260,7 +260,7 @@
     assert {each.refusal.code.status for each in context.refused} == {503}
 
 
-@then("their times to come back differ by at least {spread:d} ms")
+@then("their retry times differ by at least {spread:d} ms")
 def check_spread(context, spread):
     times = [each.refusal.retry_after for each in context.refused]
     assert 1000 * (max(times) - min(times)) >= spread, times
@@ -318,7 +318,7 @@
     context.faults = {seed: StoreDaemonSchedule(seed=seed).run() for seed in seeds}
 
 
-@then("no write is sent twice or told not run wrongly, and nothing goes where it must not")
+@then("no write is sent twice or wrongly refused as not run, and no other guarantee is violated")
 def check_schedules(context):
     found = {seed: faults for seed, faults in context.faults.items() if faults}
     assert not found, dict(list(found.items())[:5])
@@ -331,7 +331,7 @@
         server.view.note_report(slow, 0, context.daemon.now)
 
 
-@when("a read comes and only time passes, for {milliseconds:d} ms")
+@when("a read arrives and only time passes, for {milliseconds:d} ms")
 def wait_without_messages(context, milliseconds):
     _, context.orders = context.daemon.arrive()
     assert find(context.orders, messages.Dispatch) is None, context.orders
@@ -398,6 +398,6 @@
     context.orders = daemon.answer(call_id, server, status=504, load=NOT_FULL)
 
 
-@then("that answer is passed on")
+@then("that answer is relayed")
 def check_relayed(context):
     assert find(context.orders, messages.Relay) is not None, context.orders
--- a/features/steps/keyed_steps.py
+++ b/features/steps/keyed_steps.py
@@ -51,12 +51,12 @@
     context.answer = got[0]
 
 
-@then("the caller was told unknown with {name}")
+@then("the caller received {name} with outcome unknown")
 def check_unknown(context, name):
     check_refusal(context.answer, name, "unknown")
 
 
-@then("retries through every live daemon run the key no second time")
+@then("retries through every live daemon do not run the key again")
 def retry_key(context):
     system = context.system
     for name, process in system.fleet.daemons.items():
@@ -93,7 +93,7 @@
     assert system.fleet.count_runs(key) == 1
 
 
-@then("a random key for a range of {name} is told {code}")
+@then("a random key for a range of {name} is refused with {code}")
 def check_random(context, name, code):
     answer = context.system.write("entry-2", context.random_key)
     check_refusal(answer, code, "unknown")
@@ -114,7 +114,7 @@
     time.sleep(0.5)
 
 
-@then("the key ran at most once and retries run it no second time")
+@then("the key ran at most once and retries do not run it again")
 def check_at_most_once(context):
     system = context.system
     before = system.fleet.count_runs(context.key)
@@ -196,7 +196,7 @@
             assert answer.status == 200, answer
 
 
-@then("the writes whose holder is dead were told that this attempt was not run")
+@then("the writes whose holder is dead were refused as not run in this attempt")
 def check_dead(context):
     for key in context.dead:
         answer = context.written[key]
@@ -265,7 +265,7 @@
     )
 
 
-@then("after {seconds:d} seconds nothing is in progress and a repeat is told unknown at once")
+@then("after {seconds:d} seconds nothing is in progress and a repeat gets unknown at once")
 def check_settled(context, seconds):
     time.sleep(seconds)
     assert context.system.fleet.read_status("entry-1")["in_flight"] == 0
--- a/features/steps/pattern_steps.py
+++ b/features/steps/pattern_steps.py
@@ -19,7 +19,7 @@
 }
 
 
-@given("{servers:d} backend servers whose neighbours slow each five times in a quarter of the time")
+@given("{servers:d} backend servers that neighbours slow down five times in a quarter of the time")
 def set_servers(context, servers):
     context.servers = servers
 
@@ -32,7 +32,7 @@
     )
 
 
-@when("{rate:d} requests a second come for 8 seconds, seed {seed:d}")
+@when("{rate:d} requests a second arrive for 8 seconds, seed {seed:d}")
 def arrive_evenly(context, rate, seed):
     run_both(context, seed, lambda second: rate)
 
@@ -57,23 +57,23 @@
     assert shared - least >= margin, (shared, least)
 
 
-@then("more requests are answered within the target than by least in flight")
+@then("more requests are answered within the target than with least in flight")
 def check_more(context):
     assert context.shared.in_target > context.least.in_target, (context.shared, context.least)
 
 
-@then("what is refused was not run")
+@then("nothing that was refused has run")
 def check_true(context):
     assert context.shared.refused > 0
     assert not context.shared.refused_not_run & context.shared.ran
 
 
-@then("nobody waits longer than {limit:d} ms for a refusal")
+@then("no caller waits longer than {limit:d} ms for a refusal")
 def check_refused_early(context, limit):
     slowest = 1000 * max(context.shared.refusal_seconds)
     assert slowest <= limit, slowest
 
 
-@then("fewer requests end without an answer than by least in flight")
+@then("fewer requests end without an answer than with least in flight")
 def check_lost(context):
     assert context.shared.lost < context.least.lost, (context.shared.lost, context.least.lost)
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -56,7 +56,7 @@
     assert ran.count("0123abcd") == 1, ran
 
 
-@then("the log of front-1 tells where it was sent and how it ended")
+@then("the log of front-1 shows where it was sent and how it ended")
 def check_log(context):
     def list_events():
         lines = context.platform.read_log("front-1")
@@ -73,7 +73,7 @@
     context.platform.publish(version, prefix)
 
 
-@when("bytes that are no configuration are written")
+@when("bytes that are not a configuration are written")
 def publish_broken(context):
     context.platform.write(b'{"config-version": 99, "routes": 5}')
     context.platform.write(b"\xff\x00")
@@ -120,7 +120,7 @@
     context.platform.publish(version, prefix)
 
 
-@when("{server} says that it leaves")
+@when("{server} reports that it is leaving")
 def drain(context, server):
     context.platform.drain(server)
 
@@ -155,7 +155,7 @@
     assert not context.platform.is_ready("front-1")
 
 
-@when("front-1 is told to stop while requests come through it")
+@when("front-1 is told to stop while requests go through it")
 def stop_under_load(context):
     context.statuses = []
     stopping = threading.Event()
@@ -179,7 +179,7 @@
         worker.join()
 
 
-@when("front-1 is killed and started again beside a slow store while requests come without pause")
+@when("front-1 is killed and started again with a slow store while requests arrive without pause")
 def restart_under_load(context):
     context.statuses = []
     context.platform.ask_store("/faults", {"slow_seconds": SLOW_SECONDS})
@@ -210,7 +210,7 @@
             worker.join()
 
 
-@then("each request that front-1 took was answered by a backend server")
+@then("each request that front-1 accepted was answered by a backend server")
 def check_all_served(context):
     assert len(context.statuses) > 0
     assert set(context.statuses) == {200}, Counter(context.statuses)
--- a/features/steps/pool_steps.py
+++ b/features/steps/pool_steps.py
@@ -11,14 +11,14 @@
     context.pool = PoolSubject(idle=idle)
 
 
-@when("the backend server resets the one that is used again, at once")
+@when("the backend server resets the reused connection at once")
 def reset_at_once(context):
     assert not context.pool.send_request()
     context.pool.exchange.stream.reset()
     assert len(context.pool.ends) == 1
 
 
-@when("the backend server resets the one that is used again, after 80 ms")
+@when("the backend server resets the reused connection after 80 ms")
 def reset_later(context):
     assert not context.pool.send_request()
     context.pool.exchange.started_at -= 0.08
@@ -30,6 +30,6 @@
     assert context.pool.send_request()
 
 
-@then("the next request uses the other one")
+@then("the next request uses the other connection")
 def check_other(context):
     assert not context.pool.send_request()
--- a/features/steps/reading_steps.py
+++ b/features/steps/reading_steps.py
@@ -20,7 +20,7 @@
 HEARTBEAT_STEPS = 12
 
 
-@given("{count:d} fronts of a zone that hear each other")
+@given("{count:d} daemons of a zone that exchange heartbeats")
 def start_fronts(context, count):
     context.daemons = {f"front-{n}": StoreDaemon(name=f"front-{n}") for n in range(1, count + 1)}
     context.reads = dict.fromkeys(context.daemons, 0)
@@ -117,12 +117,12 @@
                 )
 
 
-@then("the configuration was asked for at most {count:d} times a second by each")
+@then("each requested the configuration at most {count:d} times a second")
 def check_request_rate(context, count):
     assert 0 < context.orders <= count * len(context.daemons) * 10, context.orders
 
 
-@when("{seconds:d} s pass with news reaching all")
+@when("{seconds:d} s pass with updates reaching all")
 def pass_with_updates(context, seconds):
     advance(context.daemons, context.reads, 1.0)
     context.reads = dict.fromkeys(context.daemons, 0)
@@ -148,7 +148,7 @@
     assert sum(context.reads.values()) > 0, context.reads
 
 
-@when("the store turns those away for {seconds:d} s")
+@when("the reads of those that wait fail for {seconds:d} s")
 def fail_reads_of_waiting(context, seconds):
     advance(context.daemons, context.reads, seconds, refused=tuple(context.waiting))
 
@@ -158,7 +158,7 @@
     assert list_waiting(context, context.waiting), context.waiting
 
 
-@given("a front that hears {peers:d} daemons of other zones")
+@given("a daemon that receives heartbeats of {peers:d} daemons of other zones")
 def start_with_remote_daemons(context, peers):
     context.daemon = StoreDaemon()
     for number in range(peers):
@@ -166,18 +166,18 @@
     context.remote_daemons = peers
 
 
-@when("{seconds:d} s pass without a word of them")
+@when("{seconds:d} s pass without a heartbeat of them")
 def pass_without_heartbeats(context, seconds):
     context.daemon.now += seconds
 
 
-@then("it {still} takes them for alive")
+@then("it {still} counts them as alive")
 def check_alive(context, still):
     alive = select_alive(context.daemon.state, context.daemon.now, "south")
     assert len(alive) == (context.remote_daemons if still == "still" else 0), len(alive)
 
 
-@when("all have just started and no heartbeat has come")
+@when("all have just started and no heartbeat has arrived")
 def start_all(context):
     for daemon in context.daemons.values():
         for _ in range(HEARTBEAT_STEPS):
--- a/features/steps/schedule_steps.py
+++ b/features/steps/schedule_steps.py
@@ -37,7 +37,7 @@
             return
 
 
-@then("no key ran twice, no told outcome was false and nothing started late")
+@then("no key ran twice, no reported outcome was false and nothing started late")
 def check_faults(context):
     faults = [fault for schedule in context.schedules for fault in schedule.faults]
     assert not faults, faults[:5]
--- a/features/steps/server_steps.py
+++ b/features/steps/server_steps.py
@@ -47,7 +47,7 @@
     start_load(context, writes=False)
 
 
-@when("{server} is leaving, says {source}")
+@when("{server} is leaving according to {source}")
 def say_leaving(context, server, source):
     system = context.system
     if source == "the operator":
@@ -63,7 +63,7 @@
     context.system.fleet.set_faults(context.system.fleet.vms, down=True)
 
 
-@when("a configuration is published in which it works")
+@when("a configuration is published in which it is not draining")
 def publish_working(context):
     context.system.publish(tag="working")
 
@@ -85,7 +85,7 @@
     assert sum(after[name] - before[name] for name in others) > 20, (before, after)
 
 
-@when("{server} says that it works again")
+@when("{server} reports that it works again")
 def say_working(context, server):
     system = context.system
     system.fleet.set_faults(system.fleet.servers[server], draining=False)
@@ -112,7 +112,7 @@
     context.budget = share * servers * SLOTS
 
 
-@when("every backend server says that it is leaving, so that all are probed")
+@when("every backend server reports that it is leaving, so that all are probed")
 def drain_all(context):
     system = context.system
     for process in system.fleet.servers.values():
@@ -123,7 +123,7 @@
     time.sleep(3)
 
 
-@when("the daemon that measures is frozen for {seconds:d} seconds")
+@when("the daemon that probes is frozen for {seconds:d} seconds")
 def freeze_measuring(context, seconds):
     system = context.system
     resource = find_measuring_resource("bakery")
@@ -161,14 +161,14 @@
     ]
 
 
-@then("no second had more measuring work than the budget over all backend servers")
+@then("no second had more probe work than the budget over all backend servers")
 def check_budget(context):
     worst = find_worst_second(list_probes(context.system))
     print(f"worst second {worst:.4f} of {context.budget:.4f} slot seconds")
     assert worst <= context.budget + ROUNDING, (worst, context.budget)
 
 
-@then("measuring went on")
+@then("probing continued")
 def check_measuring(context):
     assert len(list_probes(context.system)) > 10
 
@@ -178,12 +178,12 @@
     assert list_probes(context.system) == []
 
 
-@given("{count:d} random schedules of measuring by 3 daemons")
+@given("{count:d} random schedules of probing by 3 daemons")
 def make_measuring(context, count):
     context.measured = [MeasuringSchedule(seed=FIRST_SEED + each) for each in range(count)]
 
 
-@given("{count:d} random schedules of measuring by 3 daemons without the lease")
+@given("{count:d} random schedules of probing by 3 daemons without the lease")
 def make_unleased(context, count):
     context.measured = [
         MeasuringSchedule(seed=FIRST_SEED + each, has_lease=False) for each in range(count)
@@ -196,13 +196,13 @@
         schedule.run()
 
 
-@then("no second of any schedule had more measuring work than the budget")
+@then("no second of any schedule had more probe work than the budget")
 def check_schedules(context):
     for schedule in context.measured:
         assert schedule.starts, schedule.seed
         assert schedule.find_excess() <= ROUNDING, (schedule.seed, schedule.find_excess())
 
 
-@then("some second had more measuring work than the budget")
+@then("some second had more probe work than the budget")
 def check_excess(context):
     assert any(schedule.find_excess() > ROUNDING for schedule in context.measured)
--- a/features/steps/slot_steps.py
+++ b/features/steps/slot_steps.py
@@ -70,7 +70,7 @@
     assert found <= share / 100, found
 
 
-@then("more requests are answered within the target than where each daemon chooses")
+@then("more requests are answered within the target than with the shared queue")
 def compare_with_shared(context):
     context.shared = ZoneLoad(
         policy="shared_queue", daemons=context.daemon_count, **context.wave
@@ -86,12 +86,12 @@
     assert context.granted.queued_at_server < context.shared.queued_at_server
 
 
-@then("nothing that was told not run has run")
+@then("nothing that was refused as not run has run")
 def check_not_run(context):
     assert not context.granted.refused_not_run & context.granted.ran
 
 
-@given("two fronts of which the other owns the service")
+@given("two daemons of which the other owns the service")
 def start_two(context):
     pair = [StoreDaemon(policy="granted_queue", name=name) for name in ("front-1", "front-2")]
     for daemon in pair:
@@ -105,7 +105,7 @@
     context.daemon = next(each for each in pair if each.state.name != owner)
 
 
-@when("a read comes and the owner is silent")
+@when("a read arrives and the owner is silent")
 def request_from_silent_owner(context):
     context.began = context.daemon.now
     context.call_id, orders = context.daemon.arrive()
@@ -128,14 +128,14 @@
     assert context.daemon.now - context.began <= limit / 1000
 
 
-@then("the next read is not asked of that owner")
+@then("the next read sends no slot request to that owner")
 def check_next(context):
     _, orders = context.daemon.arrive()
     assert find(orders, RequestSlot) is None
     assert find(orders, messages.Dispatch) is not None
 
 
-@when("a write comes, its caller leaves and the grant arrives after that")
+@when("a write arrives, its caller disconnects and the grant arrives after that")
 def disconnect_before_grant(context):
     daemon = context.daemon
     call_id, orders = daemon.arrive("/write/x")
@@ -154,26 +154,26 @@
     return daemon.run(granted)
 
 
-@then("the write is not dispatched and the owner is told")
+@then("the write is not dispatched and its slot request is withdrawn")
 def check_not_sent(context):
     assert find(context.orders, messages.Dispatch) is None
     assert find(context.orders, WithdrawSlot) is not None
 
 
-@when("a read comes and is granted a backend server that has said it leaves")
+@when("a read arrives and is granted a backend server that is leaving")
 def grant_leaving(context):
     call_id, _ = context.daemon.arrive()
     context.daemon.register("i-1", offset=9, draining=True)
     context.orders = grant(context.daemon, call_id, "i-1")
 
 
-@then("the owner is asked for another one")
+@then("a slot of another backend server is requested")
 def check_requested_again(context):
     assert find(context.orders, messages.Dispatch) is None
     assert "i-1" in find(context.orders, RequestSlot).request.avoided
 
 
-@when("the owner hears the same question three times")
+@when("the owner receives the same slot request three times")
 def request_three_times(context):
     _, orders = context.daemon.arrive()
     request = find(orders, RequestSlot).request
@@ -192,11 +192,11 @@
     assert sum(each.count_load() for each in states) == 1
 
 
-@when("a read comes and the owner says that it knows no such route")
+@when("a read arrives and the owner reports that it has no such route")
 def deny_route(context):
     context.began = context.daemon.now
     call_id, _ = context.daemon.arrive()
-    refusal = Refusal(codes.NO_CONFIGURATION, "the owner knows no route")
+    refusal = Refusal(codes.NO_CONFIGURATION, "the owner has no such route")
     for _ in range(2):
         denied = SlotDenied(now=context.daemon.now, call_id=call_id, refusal=refusal)
         context.dispatch = find(context.daemon.run(denied), messages.Dispatch)
@@ -211,19 +211,19 @@
             context.faults[number] = faults
 
 
-@then("no write is sent twice or told not run wrongly, and no call is left behind")
+@then("no write is sent twice or wrongly refused as not run, and no call stays open")
 def check_schedules(context):
     assert not context.faults, context.faults
 
 
-@when("the owner says that it knows no backend server")
+@when("the owner reports that it has no backend server")
 def report_no_servers(context):
     daemon = context.daemon
     daemon.now += 1.0
     daemon.receive_heartbeat(context.owner.state.name, can_decide=False)
 
 
-@then("the next read is dispatched without a question")
+@then("the next read is dispatched without a slot request")
 def check_no_request(context):
     _, orders = context.daemon.arrive()
     assert find(orders, RequestSlot) is None
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -16,7 +16,7 @@
     context.violations = context.soak.run()
 
 
-@then("no promise was broken")
+@then("no guarantee was violated")
 def check_none(context):
     assert not context.violations, [*context.violations, *context.soak.notes]
 
@@ -38,7 +38,9 @@
     )
 
 
-@given("evidence of a write that ran twice, one told 503 that ran and one cut by a planned stop")
+@given(
+    "evidence of a write run twice, one refused with 503 that ran and one cut off by a planned stop"
+)
 def collect_requests(context):
     context.evidence = Evidence(
         results=[
@@ -61,7 +63,7 @@
     context.evidence.versions = {"front-1 run 1": [4, 5, 4]}
 
 
-@then("each of the {count:d} is told as a broken promise")
+@then("each of the {count:d} is reported as a violated guarantee")
 def check_reported(context, count):
     violations = check_guarantees(context.evidence)
     assert len(violations) == count, violations
--- a/features/steps/stop_steps.py
+++ b/features/steps/stop_steps.py
@@ -80,7 +80,7 @@
     context.answer = got[0]
 
 
-@then("the write is answered whole and {name} ended after it")
+@then("the write gets a complete answer and {name} ended after it")
 def check_write(context, name):
     assert context.answer.status == 200, context.answer
     assert len(context.system.list_ran()) == 1
@@ -135,7 +135,7 @@
     context.load.stop()
 
 
-@then("every caller got a whole answer or was told not run")
+@then("every caller got a complete answer or a refusal as not run")
 def check_load(context):
     assert len(context.load.answers) > LEAST_ANSWERS, len(context.load.answers)
     assert not context.load.wrong, (len(context.load.wrong), context.load.wrong[:5])
--- a/features/steps/system_steps.py
+++ b/features/steps/system_steps.py
@@ -49,7 +49,7 @@
         context.reads = list(pool.map(read, range(count)))
 
 
-@then("every answer is the whole answer to its own request")
+@then("every answer is complete and belongs to its own request")
 def check_reads(context):
     for number, answer in context.reads:
         assert answer.status == 200, answer
--- a/features/subjects/store_daemon_schedules.py
+++ b/features/subjects/store_daemon_schedules.py
@@ -164,4 +164,4 @@
     def _check_refusal(self, order):
         is_not_run = order.refusal.outcome is codes.Outcome.NOT_RUN
         if is_not_run and order.call_id in self._may_have_run and order.call_id in self._writes:
-            self.faults.append(f"write {order.call_id} was told not run though it may have run")
+            self.faults.append(f"write {order.call_id} was refused as not run but may have run")
