--- a/features/run.py
+++ b/features/run.py
@@ -25,14 +25,14 @@
 
     passed: list[str] = field(default_factory=list)
     failed: list[str] = field(default_factory=list)
-    known: list[str] = field(default_factory=list)
+    known_failures: list[str] = field(default_factory=list)
 
     def count(self, name: str, *, passed: bool, known_red: set[str]) -> None:
         """Count one check or scenario."""
         if passed:
             self.passed.append(name)
         elif name in known_red:
-            self.known.append(name)
+            self.known_failures.append(name)
         else:
             self.failed.append(name)
 
@@ -86,7 +86,7 @@
     if not selected:
         run_checks(counts, known_red)
     run_features(counts, known_red, selected)
-    for name in counts.known:
+    for name in counts.known_failures:
         print(f"known red, passed over: {name}")
     for name in counts.failed:
         print(f"FAILED: {name}")
--- a/features/steps/answer_steps.py
+++ b/features/steps/answer_steps.py
@@ -150,15 +150,15 @@
     ).json()
     owner = explained["owner"]
     other = next(name for name in system.fleet.daemons if name != owner)
-    got = []
+    answers = []
     thread = threading.Thread(
-        target=lambda: got.append(system.request(other, "GET", "/stock/1?ms=400"))
+        target=lambda: answers.append(system.request(other, "GET", "/stock/1?ms=400"))
     )
     thread.start()
     system.wait_for_ran(1)
     system.fleet.daemons[owner].kill()
     thread.join()
-    context.answer = got[0]
+    context.answer = answers[0]
 
 
 @then("the read gets a complete answer")
--- a/features/steps/chain_steps.py
+++ b/features/steps/chain_steps.py
@@ -23,7 +23,7 @@
 @given("{count:d} random histories with claims by readers that only guess")
 def make_guessing(context, count):
     context.histories = [
-        ChainHistory(seed=FIRST_SEED + each, strict=False) for each in range(count)
+        ChainHistory(seed=FIRST_SEED + each, claims_checked=False) for each in range(count)
     ]
 
 
--- a/features/steps/front_steps.py
+++ b/features/steps/front_steps.py
@@ -59,7 +59,7 @@
 
 
 @when("{name} reports at {offset:d} that it is leaving")
-def leave(context, name, offset):
+def report_leaving(context, name, offset):
     context.daemon.register(name, offset=offset, draining=True)
 
 
@@ -215,7 +215,7 @@
 
 
 @then("all refusals carry a retry time of at most a third of the time limit")
-def check_advice(context):
+def check_retry_times(context):
     assert all(0 < each.retry_after <= 0.5 / 3 for each in context.refusals)
     assert {each.outcome.value for each in context.refusals} == {"not-run"}
 
@@ -251,7 +251,7 @@
 
 
 @when("{count:d} reads arrive at once")
-def come_at_once(context, count):
+def arrive_at_once(context, count):
     context.refused = [find(context.daemon.arrive()[1], messages.RefuseCall) for _ in range(count)]
 
 
--- a/features/steps/keyed_steps.py
+++ b/features/steps/keyed_steps.py
@@ -44,11 +44,11 @@
 def kill_holder(context, milliseconds, caller, holder):
     system = context.system
     context.key = system.make_key(held_by=holder)
-    got = system.write_in_background(caller, context.key, path=f"/orders/1?ms={milliseconds}")
+    answers = system.write_in_background(caller, context.key, path=f"/orders/1?ms={milliseconds}")
     system.wait_for_ran(1)
     system.fleet.daemons[holder].kill()
     system.join_background()
-    context.answer = got[0]
+    context.answer = answers[0]
 
 
 @then("the caller received {name} with outcome unknown")
@@ -126,14 +126,14 @@
 
 
 @when("{name} is frozen, a write is sent to it, and it is thawed after {seconds:d} seconds")
-def freeze_entry(context, name, seconds):
+def freeze_during_write(context, name, seconds):
     system = context.system
     system.fleet.daemons[name].freeze()
-    got = system.write_in_background(name, None)
+    answers = system.write_in_background(name, None)
     time.sleep(seconds)
     system.fleet.daemons[name].thaw()
     system.join_background()
-    context.answer = got[0]
+    context.answer = answers[0]
 
 
 @then("the write is refused with {name} and nothing ran")
--- a/features/steps/server_steps.py
+++ b/features/steps/server_steps.py
@@ -7,7 +7,7 @@
 from behave import given, then, when
 from steps.stop_steps import start_load
 from steps.system_steps import start_system
-from subjects.measuring import MeasuringSchedule, find_worst_second
+from subjects.probing import ProbingSchedule, find_worst_second
 from subjects.system import System
 
 from dotterelgate_bench.fleet import wait_until
@@ -48,7 +48,7 @@
 
 
 @when("{server} is leaving according to {source}")
-def say_leaving(context, server, source):
+def report_leaving(context, server, source):
     system = context.system
     if source == "the operator":
         system.publish(draining=(server,))
@@ -59,7 +59,7 @@
 
 
 @when("the list of VMs goes down")
-def end_list(context):
+def take_list_down(context):
     context.system.fleet.set_faults(context.system.fleet.vms, down=True)
 
 
@@ -69,7 +69,7 @@
 
 
 @when("{seconds:d} seconds pass")
-def let_pass(context, seconds):
+def wait(context, seconds):
     time.sleep(seconds)
 
 
@@ -86,7 +86,7 @@
 
 
 @when("{server} reports that it works again")
-def say_working(context, server):
+def report_working(context, server):
     system = context.system
     system.fleet.set_faults(system.fleet.servers[server], draining=False)
     context.ran_before = count_ran(system, server)
@@ -124,7 +124,7 @@
 
 
 @when("the daemon that probes is frozen for {seconds:d} seconds")
-def freeze_measuring(context, seconds):
+def freeze_prober(context, seconds):
     system = context.system
     resource = find_measuring_resource("bakery")
     holder = next(
@@ -169,7 +169,7 @@
 
 
 @then("probing continued")
-def check_measuring(context):
+def check_probing(context):
     assert len(list_probes(context.system)) > 10
 
 
@@ -179,30 +179,30 @@
 
 
 @given("{count:d} random schedules of probing by 3 daemons")
-def make_measuring(context, count):
-    context.measured = [MeasuringSchedule(seed=FIRST_SEED + each) for each in range(count)]
+def make_schedules(context, count):
+    context.schedules = [ProbingSchedule(seed=FIRST_SEED + each) for each in range(count)]
 
 
 @given("{count:d} random schedules of probing by 3 daemons without the lease")
-def make_unleased(context, count):
-    context.measured = [
-        MeasuringSchedule(seed=FIRST_SEED + each, has_lease=False) for each in range(count)
+def make_schedules_without_lease(context, count):
+    context.schedules = [
+        ProbingSchedule(seed=FIRST_SEED + each, has_lease=False) for each in range(count)
     ]
 
 
 @when("the schedules are run on the decision core")
-def run_measuring(context):
-    for schedule in context.measured:
+def run_schedules(context):
+    for schedule in context.schedules:
         schedule.run()
 
 
 @then("no second of any schedule had more probe work than the budget")
 def check_schedules(context):
-    for schedule in context.measured:
+    for schedule in context.schedules:
         assert schedule.starts, schedule.seed
         assert schedule.find_excess() <= ROUNDING, (schedule.seed, schedule.find_excess())
 
 
 @then("some second had more probe work than the budget")
 def check_excess(context):
-    assert any(schedule.find_excess() > ROUNDING for schedule in context.measured)
+    assert any(schedule.find_excess() > ROUNDING for schedule in context.schedules)
--- a/features/steps/stop_steps.py
+++ b/features/steps/stop_steps.py
@@ -71,13 +71,13 @@
 def stop_in_write(context, name, milliseconds):
     system = context.system
     key = system.make_key(held_by=name)
-    got = system.write_in_background(name, key, path=f"/orders/1?ms={milliseconds}")
+    answers = system.write_in_background(name, key, path=f"/orders/1?ms={milliseconds}")
     system.wait_for_ran(1)
     process = system.fleet.daemons[name]
     process.send(signal.SIGTERM)
     wait_for_end(process, 20)
     system.join_background()
-    context.answer = got[0]
+    context.answer = answers[0]
 
 
 @then("the write gets a complete answer and {name} ended after it")
--- a/features/subjects/chain.py
+++ b/features/subjects/chain.py
@@ -37,7 +37,7 @@
     """A random history of claims by readers that read the log late and in part."""
 
     seed: int
-    strict: bool = True
+    claims_checked: bool = True
     steps: int = 40
     log: list[Link] = field(default_factory=list)
     disagreements: list[str] = field(default_factory=list)
@@ -84,7 +84,7 @@
 
     def _claim(self, reader: Reader) -> None:
         # A frozen claimer appends long after its last read, so the record carries read_to.
-        if self.strict and not reader.may_claim():
+        if self.claims_checked and not reader.may_claim():
             return
         current = reader.chain.current
         link = Link(
--- a/features/subjects/measuring.py
+++ b/features/subjects/probing.py
@@ -13,7 +13,7 @@
 
 SERVERS = 6
 SLOTS = 3
-SHARE = 0.002
+MEASURING_SHARE = 0.002
 LEASE_SECONDS = 4.0
 CLOCK_ERROR = 0.25
 TICK_SECONDS = 0.1
@@ -36,7 +36,7 @@
 
 
 @dataclass
-class MeasuringSchedule:
+class ProbingSchedule:
     """One random schedule; every backend server is due for a probe each second."""
 
     seed: int
@@ -77,7 +77,7 @@
             name="s",
             servers=servers,
             routes=(Route(prefix="/", idempotent=True, timeout=5.0),),
-            measuring_share=SHARE,
+            measuring_share=MEASURING_SHARE,
         )
         daemon.configure(Configuration(id="c", revision=1, services=(service,)))
         for state in daemon.state.servers.states.values():
@@ -118,4 +118,4 @@
 
     def find_excess(self) -> float:
         """Return by how much the worst second exceeds the budget, in slot seconds."""
-        return find_worst_second(self.starts) - SHARE * SERVERS * SLOTS
+        return find_worst_second(self.starts) - MEASURING_SHARE * SERVERS * SLOTS
