--- a/features/steps/answer_steps.py
+++ b/features/steps/answer_steps.py
@@ -267,12 +267,10 @@
 def end_everywhere(context):
     subject = ExchangeSubject()
     total = len(HEAD) + len(BODY)
-    context.sent_by_bytes = {
-        accepted_bytes: subject.end_after(accepted_bytes) for accepted_bytes in range(total + 1)
-    }
+    context.sent_by_size = {size: subject.end_after(size) for size in range(total + 1)}
 
 
 @then("it reports the request as sent exactly when the complete head was sent")
 def check_reported_sent(context):
-    for accepted_bytes, sent in context.sent_by_bytes.items():
-        assert sent == (accepted_bytes >= len(HEAD)), (accepted_bytes, sent)
+    for size, sent in context.sent_by_size.items():
+        assert sent == (size >= len(HEAD)), (size, sent)
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -26,7 +26,7 @@
     assert any(each.status == 200 for each in context.soak.evidence.results)
 
 
-def build_result(request_id, status, *, daemon="front-1"):
+def make_result(request_id, status, *, daemon="front-1"):
     """Build the result that the caller of a write received."""
     return RequestResult(
         request_id=request_id,
@@ -43,11 +43,7 @@
 )
 def collect_requests(context):
     context.evidence = Evidence(
-        results=[
-            build_result("twice", 200),
-            build_result("promised", 503),
-            build_result("cut", None),
-        ],
+        results=[make_result("twice", 200), make_result("promised", 503), make_result("cut", None)],
         arrivals={
             "i-2": [("twice", 100.0), ("promised", 100.0), ("cut", 100.0)],
             "i-3": [("twice", 100.1)],
