--- a/features/soak.feature
+++ b/features/soak.feature
@@ -11,6 +11,6 @@
       | 102  |
 
   Scenario: The checks detect each kind of violation
-    Given evidence of a write run twice, one refused with 503 that ran and one cut off by a planned stop
+    Given evidence of a write run twice, one refused with 503 that ran and one cut by a planned stop
     And evidence of late work for a leaving backend server and of an older configuration
     Then each of the 5 is reported as a violated guarantee
--- a/features/soak.py
+++ b/features/soak.py
@@ -22,9 +22,7 @@
     seeds: Annotated[int, typer.Option(help="How many seeds to run.")] = 1,
     seconds: Annotated[float, typer.Option(help="Seconds with faults for each.")] = 12.0,
     daemons: Annotated[int, typer.Option(help="Daemons in each run.")] = 3,
-    failed: Annotated[
-        bool, typer.Option(help="Run the seeds that failed in earlier runs.")
-    ] = False,
+    failed: Annotated[bool, typer.Option(help="Run the seeds that failed before.")] = False,
 ) -> None:
     """Run seeds one after the other; exits with 1 if a guarantee was violated."""
     numbers = range(seed, seed + seeds)
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -38,9 +38,7 @@
     )
 
 
-@given(
-    "evidence of a write run twice, one refused with 503 that ran and one cut off by a planned stop"
-)
+@given("evidence of a write run twice, one refused with 503 that ran and one cut by a planned stop")
 def collect_requests(context):
     context.evidence = Evidence(
         results=[make_result("twice", 200), make_result("promised", 503), make_result("cut", None)],
