--- a/features/subjects/probing.py
+++ b/features/subjects/probing.py
@@ -37,7 +37,7 @@
 
 @dataclass
 class ProbingSchedule:
-    """One random schedule; every backend server is due for a probe each second."""
+    """One random schedule; every backend server is leaving and so due for a probe each second."""
 
     seed: int
     has_lease: bool = True
