--- a/features/subjects/schedules.py
+++ b/features/subjects/schedules.py
@@ -214,7 +214,7 @@
 
     def _restore_all(self) -> None:
         self._restore_log()
-        self._network.cut.clear()
+        self._network.partitions.clear()
 
     def _start_key(self, number: int) -> None:
         key = str(uuid.UUID(int=self._random.getrandbits(128), version=4))
