--- a/packages/dotterelgate-core/src/dotterelgate_core/configuration.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration's data classes, and the one in force."""
+"""The configuration's data classes and the rule that puts one in force."""
 
 from __future__ import annotations
 
@@ -75,7 +75,8 @@
     :param split: services that share its requests; empty for its own service
     :param attempts: maximum number of backend servers that one request is sent to, ``None``
         for the daemon's own limit
-    :param target: target latency in seconds, if the operator sets one
+    :param target: latency in seconds up to which an answer is worth most, if the operator
+        sets one
     """
 
     prefix: str
--- a/packages/dotterelgate-core/src/dotterelgate_core/control_messages.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/control_messages.py
@@ -173,7 +173,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ControlTicked:
-    """A periodic tick, on which leases, probes and reads may be due.
+    """A periodic tick, on which leases, confirmations, probes and reads may be due.
 
     :param wall: wall-clock second read before ``now``
     """
--- a/packages/dotterelgate-core/src/dotterelgate_core/engine.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/engine.py
@@ -40,9 +40,9 @@
 ) -> Filter:
     """Build the pipeline that turns the events of calls into orders.
 
-    It reads ``CallArrived``, ``CallerDisconnected``, ``ServerAnswered``, ``DispatchFailed``,
+    It handles ``CallArrived``, ``CallerDisconnected``, ``ServerAnswered``, ``DispatchFailed``,
     ``PeerAnswered``, ``PeerFailed``, ``SlotFreed``, ``SlotRequested``, ``SlotGranted``,
-    ``SlotQueued``, ``SlotDenied``, ``SlotWithdrawn`` and ``Ticked``. It writes
+    ``SlotQueued``, ``SlotDenied``, ``SlotWithdrawn`` and ``Ticked``. It emits
     ``Dispatch``, ``Forward``, ``Cancel``, ``Relay``, ``Replay``, ``RequestSlot``,
     ``GrantSlot``, ``QueueSlot``, ``DenySlot``, ``WithdrawSlot``, ``RefuseCall`` and
     ``Decision``.
--- a/packages/dotterelgate-core/src/dotterelgate_core/expected_time.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/expected_time.py
@@ -20,7 +20,7 @@
 FULL_SPEED_SHARE = 0.8
 # Slowdown of a backend server above that share.
 CROWDED_FACTOR = 1.6
-# Relative cost of a full load; each request costs its part, also at full speed.
+# Relative cost of a full load; each request adds its part, also below that share.
 LOAD_COST = 0.15
 # An answer from another availability zone costs network delay and traffic.
 OTHER_ZONE_FACTOR = 1.5
@@ -104,7 +104,7 @@
 
 
 def find_penalty_factor(state: ServerState, now: float, *, zone: str) -> float:
-    """Return the cost factor of traffic between zones and of failures.
+    """Compute the cost factor of traffic between zones and of failures.
 
     :param zone: availability zone of this daemon
     """
--- a/packages/dotterelgate-core/src/dotterelgate_core/keys.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/keys.py
@@ -20,7 +20,7 @@
 
 
 class KeyState(Enum):
-    """Outcome of the request under a key."""
+    """State of the request under a key."""
 
     RUNNING = auto()
     RAN = auto()
--- a/packages/dotterelgate-core/src/dotterelgate_core/leases.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/leases.py
@@ -137,7 +137,7 @@
             lease.read_at = now
 
     def holds(self, resource: str, now: float, wall: float) -> bool:
-        """Return whether this daemon holds the resource now and may act on it.
+        """Return whether this daemon alone may act on the resource now.
 
         :param wall: wall-clock second read before ``now``
         """
--- a/packages/dotterelgate-core/src/dotterelgate_core/loads.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/loads.py
@@ -10,7 +10,7 @@
 # Slowdowns caused by neighbouring VMs last about this long (the platform's site files
 # draw a new one every 150 ms).
 SLOWDOWN_MEMORY_SECONDS = 0.15
-# A peer repeats nonzero counts with each heartbeat; older ones expire.
+# A peer repeats nonzero counts with each heartbeat; those of a stopped peer expire.
 PEER_COUNT_SECONDS = 1.5
 # Requests in a report that come from other availability zones are assumed to have
 # ended after this long, the usual time of a request.
--- a/packages/dotterelgate-core/src/dotterelgate_core/owners.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/owners.py
@@ -40,7 +40,7 @@
 
 
 def list_owners(state: DaemonState, service: str, now: float, zone: str) -> list[str]:
-    """Name the owner of a service's queue in a zone, and its successor."""
+    """List the owner of a service's queue in a zone and its successor."""
     table = state.owners
     key = (service, zone)
     if now - table.ranked_at.get(key, float("-inf")) >= RANKING_INTERVAL_SECONDS:
@@ -53,7 +53,7 @@
 
 
 def _select_deciding(state: DaemonState, now: float, zone: str) -> list[str]:
-    """Name the daemons of a zone that can decide, or all daemons if none can."""
+    """List the daemons of a zone that can decide, or all daemons if none can."""
     alive = select_alive(state, now, zone)
     deciding = [
         name
@@ -64,7 +64,7 @@
 
 
 def find_owner(state: DaemonState, service: str, now: float) -> str:
-    """Name the owner of a service's queue in the own zone, or this daemon if there is none."""
+    """Return the owner of a service's queue in the own zone, or this daemon if there is none."""
     owners = list_owners(state, service, now, state.zone)
     return owners[0] if owners else state.name
 
@@ -76,7 +76,7 @@
 
 
 def select_listeners(state: DaemonState, service: str, now: float) -> list[str]:
-    """Name the peers of the own zone that need load updates of a service."""
+    """List the peers of the own zone that need load updates of a service."""
     if not is_granted(state, service):
         return select_zone_peers(state, now)
     owners = list_owners(state, service, now, state.zone)
--- a/packages/dotterelgate-core/src/dotterelgate_core/peers.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/peers.py
@@ -29,7 +29,7 @@
     :param listed_leaving: whether the platform lists its VM as leaving
     :param is_suspected: whether a call or ping to it went unanswered and no message came since
     :param seen_at: monotonic second of its last message
-    :param pinged_at: monotonic second of a ping that it has not answered
+    :param pinged_at: monotonic second of the last ping, until a message of it arrives
     :param pending_calls: ids of calls sent to it whose answers are outstanding
     """
 
--- a/packages/dotterelgate-core/src/dotterelgate_core/policies.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/policies.py
@@ -116,7 +116,7 @@
 
 
 def make_two_choices(random: Random) -> Choose:
-    """Build the choice of the one with fewer own requests in flight of two random servers."""
+    """Build the choice, of two random servers, of the one with fewer own requests in flight."""
 
     def choose(states: Sequence[ServerState], *_: object) -> ServerState:
         first = random.choice(states)
--- a/packages/dotterelgate-core/src/dotterelgate_core/probing.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/probing.py
@@ -2,7 +2,7 @@
 
 Only the daemon that holds a service's measuring lease probes it, since dividing
 the budget among daemons needs a membership view, which may be wrong. A probe must
-start within a quarter of a second, and the costs are summed over the longest time
+start within a quarter of a second, so the budget has to cover the longest time
 whose probes can fall into one second at the backend servers.
 """
 
--- a/packages/dotterelgate-core/src/dotterelgate_core/sampling.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/sampling.py
@@ -1,4 +1,4 @@
-"""Filter that probes backend servers to keep their load reports recent."""
+"""Filter that keeps load reports recent by probes, where daemons share their view."""
 
 from __future__ import annotations
 
--- a/packages/dotterelgate-core/src/dotterelgate_core/servers.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/servers.py
@@ -95,7 +95,7 @@
     def note_success(self, now: float, seconds: float) -> None:
         """Apply a complete answer.
 
-        :param seconds: time that it took, with stragglers cut to a multiple of the usual time
+        :param seconds: time that it took, with stragglers capped at a multiple of the usual time
         """
         self.failures = 0
         self.paused_until = 0.0
--- a/packages/dotterelgate-core/src/dotterelgate_core/sharing.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/sharing.py
@@ -32,8 +32,8 @@
 SILENCE_SECONDS = 1.2
 # Remote zones receive every eighth heartbeat while there are few peers; one may be lost.
 REMOTE_SILENCE_SECONDS = 4.5
-# Remote peers up to which heartbeats go out at the full rate: traffic between zones
-# costs, and heartbeats between all pairs grow with the square of the daemons.
+# Remote peers up to which heartbeats and loads go out at the full rate: traffic between
+# zones costs, and heartbeats between all pairs grow with the square of the daemons.
 REMOTE_PEERS = 16
 # Interval at which counts that no peer repeats are removed.
 EXPIRY_INTERVAL_SECONDS = 0.2
@@ -90,7 +90,7 @@
 
 
 def find_remote_interval_factor(state: DaemonState) -> int:
-    """Compute the factor that lengthens the heartbeat interval to remote zones with more peers."""
+    """Compute how many times longer sending intervals to remote zones are, by the peers there."""
     remote = sum(peer.zone != state.zone for peer in state.peers.listed.values())
     return max(1, -(-remote // REMOTE_PEERS))
 
--- a/packages/dotterelgate-core/src/dotterelgate_core/work_times.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/work_times.py
@@ -14,7 +14,7 @@
 TARGET_SHARE = 0.3
 # Weight of one answer; the initial guess fades over about ten answers.
 ANSWER_WEIGHT = 0.1
-# Answers count at most this multiple of the estimate: one in thirty runs 7 times as long.
+# Answers count at most this multiple of the estimate, as one in thirty runs 7 times as long.
 CAP_FACTOR = 3.0
 
 
