--- a/features/steps/front_steps.py
+++ b/features/steps/front_steps.py
@@ -97,8 +97,8 @@
 def fail_often(context, name):
     server = context.daemon.state.servers.states[name]
     for _ in range(5):
-        server.note_failure(context.daemon.now)
-        server.view.note_outcome(failed=True, now=context.daemon.now)
+        server.record_failure(context.daemon.now)
+        server.view.update_failure_share(failed=True, now=context.daemon.now)
 
 
 @when("{name} is read again at {offset:d} with a later start")
@@ -328,7 +328,7 @@
 def report_slow(context):
     slow = LoadReport(running=0, waiting=0, slots=3, slowdown=5.0)
     for server in context.daemon.state.servers.states.values():
-        server.view.note_report(slow, 0, context.daemon.now)
+        server.view.apply_report(slow, 0, context.daemon.now)
 
 
 @when("a read arrives and only time passes, for {milliseconds:d} ms")
--- a/packages/dotterelgate-core/src/dotterelgate_core/admission.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/admission.py
@@ -20,7 +20,7 @@
     from dotterelgate_core.servers import ServerState
     from dotterelgate_core.state import DaemonState
 
-__all__ = ["make_admission_filter", "note_admitted"]
+__all__ = ["make_admission_filter", "mark_admitted"]
 
 # Share of its time limit that a request may wait where daemons share their view of
 # the load; it is then refused while its caller still has time to retry.
@@ -49,12 +49,12 @@
     refusal = _find_refusal(state, policies, routed, call_state)
     if refusal is not None:
         return _settle_refused(state, call_state, refusal, routed.now)
-    note_admitted(state, call_state)
+    mark_admitted(state, call_state)
     queue.add(call_state)
     return [SlotFreed(now=routed.now, service=routed.service.name)]
 
 
-def note_admitted(state: DaemonState, call_state: CallState) -> None:
+def mark_admitted(state: DaemonState, call_state: CallState) -> None:
     """Mark a call as admitted to a queue, locally or at an owner.
 
     For a call of another daemon, that daemon keeps the retry budget and the work time.
--- a/packages/dotterelgate-core/src/dotterelgate_core/asking.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/asking.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from dotterelgate_core import codes
-from dotterelgate_core.admission import note_admitted
+from dotterelgate_core.admission import mark_admitted
 from dotterelgate_core.binding import dispatch_call
 from dotterelgate_core.messages import CallRouted, CallSettled, Decision, Ticked
 from dotterelgate_core.owners import find_owner
@@ -113,7 +113,7 @@
     if not any(each.is_eligible(routed.now) for each in pool):
         return [routed]
     if not call_state.admitted:
-        note_admitted(state, call_state)
+        mark_admitted(state, call_state)
     call_state.queued = True
     asking.requests[routed.call.id] = PendingRequest(owner=owner, requested_at=routed.now)
     return [_build_request(call_state, owner, routed.now)]
--- a/packages/dotterelgate-core/src/dotterelgate_core/control.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/control.py
@@ -140,7 +140,7 @@
         server = state.servers.states.get(message.server)
         if server is None:
             return ()
-        if not server.note_leaving_report(is_leaving=message.is_leaving, wall=message.wall):
+        if not server.apply_leaving_report(is_leaving=message.is_leaving, wall=message.wall):
             return ()
         status = "is leaving; it gets no new requests" if message.is_leaving else "works again"
         sentence = f"{message.server} {status} (from {message.source})"
--- a/packages/dotterelgate-core/src/dotterelgate_core/expected_time.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/expected_time.py
@@ -14,7 +14,7 @@
     from dotterelgate_core.calls import CallState
     from dotterelgate_core.servers import ServerState
 
-__all__ = ["estimate_time_factor", "find_penalty_factor", "make_expected_time_choice"]
+__all__ = ["compute_penalty_factor", "estimate_time_factor", "make_expected_time_choice"]
 
 # Share of its slots up to which a backend server runs at full speed.
 FULL_SPEED_SHARE = 0.8
@@ -55,12 +55,12 @@
     """
 
     def choose(states: Sequence[ServerState], call: CallState, now: float) -> ServerState | None:
-        usual = find_usual_slowdown(states)
+        usual = compute_usual_slowdown(states)
         best: ServerState | None = None
         least = best_factor = float("inf")
         for state in states:
             factor = estimate_time_factor(state, now, usual=usual)
-            cost = factor * find_penalty_factor(state, now, zone=zone)
+            cost = factor * compute_penalty_factor(state, now, zone=zone)
             is_unused = now - state.chosen_at >= UNUSED_SECONDS
             if not is_unused and not _is_connected(state, call, now):
                 cost *= UNCONNECTED_FACTOR
@@ -97,13 +97,13 @@
     )
 
 
-def find_usual_slowdown(states: Sequence[ServerState]) -> float:
+def compute_usual_slowdown(states: Sequence[ServerState]) -> float:
     """Compute the mean of the slowdowns that the backend servers last reported."""
     reports = [state.view.report.slowdown for state in states if state.view.report is not None]
     return sum(reports) / len(reports) if reports else 1.0
 
 
-def find_penalty_factor(state: ServerState, now: float, *, zone: str) -> float:
+def compute_penalty_factor(state: ServerState, now: float, *, zone: str) -> float:
     """Compute the cost factor of traffic between zones and of failures.
 
     :param zone: availability zone of this daemon
--- a/packages/dotterelgate-core/src/dotterelgate_core/handovers.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/handovers.py
@@ -90,13 +90,13 @@
             return ()
         if not isinstance(message, ControlTicked) or position.read_to is None:
             return (message,)
-        _note_handed_over(state, table)
+        _start_outgoing(state, table)
         return [*_send_keys(state, table, message.now), *_offer(state, table, message), message]
 
     return hand_over
 
 
-def _note_handed_over(state: DaemonState, table: HandoverTable) -> None:
+def _start_outgoing(state: DaemonState, table: HandoverTable) -> None:
     for resource, transfer in state.leases.handed_over.items():
         grant = state.leases.find_holder(resource)
         if grant is not None:
--- a/packages/dotterelgate-core/src/dotterelgate_core/holding.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/holding.py
@@ -189,11 +189,11 @@
     )
     state.keys.size += 1
     call_state.digest = digest
-    call_state.fence = _find_fence(state, resource)
+    call_state.fence = _compute_fence(state, resource)
     return [routed]
 
 
-def _find_fence(state: DaemonState, resource: str) -> float:
+def _compute_fence(state: DaemonState, resource: str) -> float:
     return state.leases.leases[resource].ends_wall - state.limits.clock_error
 
 
--- a/packages/dotterelgate-core/src/dotterelgate_core/learning.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/learning.py
@@ -29,15 +29,15 @@
     load = message.report.load
     view = server.view
     if load is not None:
-        view.note_report(load, server.in_flight, message.now)
+        view.apply_report(load, server.in_flight, message.now)
         view.has_unsent_report = True
     is_full = load is not None and load.running >= load.slots
     if not message.ran:
-        view.note_outcome(failed=not is_full, now=message.now)
+        view.update_failure_share(failed=not is_full, now=message.now)
         view.has_unsent_failure = view.has_unsent_failure or not is_full
         return
     failed = message.status >= FIRST_FAILURE_STATUS
-    view.note_outcome(failed=failed, now=message.now)
+    view.update_failure_share(failed=failed, now=message.now)
     if failed:
         view.has_unsent_failure = True
         return
@@ -46,4 +46,4 @@
     usual = state.times.estimate(routed.service, routed.route)
     state.times.learn(routed.service, routed.route, seconds / slowdown)
     view.unsent_pace = seconds / slowdown / usual
-    view.note_pace(view.unsent_pace, message.now)
+    view.update_pace(view.unsent_pace, message.now)
--- a/packages/dotterelgate-core/src/dotterelgate_core/leases.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/leases.py
@@ -234,13 +234,13 @@
     ) -> bool:
         if lease.tenure is not None or self.holder not in usable:
             return False
-        free_since = self._find_free_since(lease, removed)
+        free_since = self._compute_free_since(lease, removed)
         if free_since is None:
             return False
         rank = rank_by_rendezvous(resource, usable).index(self.holder)
         return now >= free_since + rank * RANK_DELAY_SECONDS
 
-    def _find_free_since(self, lease: Lease, removed: Collection[str]) -> float | None:
+    def _compute_free_since(self, lease: Lease, removed: Collection[str]) -> float | None:
         chain = lease.chain
         if not chain.known:
             # Grants that the log no longer retains may still be in effect.
--- a/packages/dotterelgate-core/src/dotterelgate_core/loads.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/loads.py
@@ -75,7 +75,7 @@
         """Count the requests at the backend server that are not this daemon's."""
         return self.unattributed + sum(count for count, _ in self.peers.values())
 
-    def note_report(self, report: LoadReport, own: int, at: float) -> None:
+    def apply_report(self, report: LoadReport, own: int, at: float) -> None:
         """Apply a report unless a newer one was applied.
 
         :param own: requests that this daemon has at the backend server
@@ -88,7 +88,7 @@
         self.reported_at = at
         self.unattributed = max(0, report.running + report.waiting - attributed)
 
-    def note_peer(self, peer: str, count: int, now: float) -> None:
+    def set_peer_count(self, peer: str, count: int, now: float) -> None:
         """Set how many requests a peer has at the backend server."""
         if count:
             self.peers[peer] = (count, now)
@@ -123,12 +123,12 @@
             self.unattributed = 0
         return self.count_others() < before
 
-    def note_pace(self, ratio: float, now: float) -> None:
+    def update_pace(self, ratio: float, now: float) -> None:
         """Update the pace with the ratio of an answer's time to the usual time."""
         self._decay(now)
         self.pace += PACE_WEIGHT * (min(ratio, PACE_LIMIT) - self.pace)
 
-    def note_outcome(self, *, failed: bool, now: float) -> None:
+    def update_failure_share(self, *, failed: bool, now: float) -> None:
         """Update the share of failures with the outcome of a request."""
         self._decay(now)
         self.failure_share += FAILURE_WEIGHT * (float(failed) - self.failure_share)
--- a/packages/dotterelgate-core/src/dotterelgate_core/observing.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/observing.py
@@ -42,9 +42,9 @@
     seconds = message.now - call_state.sent_at
     queue = state.waiting.find(call_state.routed.service.name)
     if message.ran:
-        queue.note_time(seconds, long=call_state.routed.route.long)
+        queue.update_slot_time(seconds, long=call_state.routed.route.long)
         if server is not None and not call_state.routed.route.long:
-            server.note_success(message.now, queue.cut_straggler(seconds))
+            server.record_success(message.now, queue.cap_straggler(seconds))
     free_slot(state, call_state, message.server)
     if server is not None:
         learn_from_answer(state, server, call_state, message, seconds)
@@ -52,7 +52,7 @@
     if server is None or not message.report.draining or server.reports_leaving:
         return [message, freed]
     announcement = AnnounceLeaving(server=message.server, is_leaving=True, wall=message.wall)
-    server.note_leaving_report(is_leaving=True, wall=message.wall)
+    server.apply_leaving_report(is_leaving=True, wall=message.wall)
     sentence = f"{message.server} is leaving, according to its answer; it gets no new requests"
     decision = Decision(part="settling", sentence=sentence, target=message.server)
     return [message, announcement, decision, freed]
@@ -64,8 +64,8 @@
     if call_state is None:
         return []
     if server is not None:
-        server.note_failure(message.now)
-        server.view.note_outcome(failed=True, now=message.now)
+        server.record_failure(message.now)
+        server.view.update_failure_share(failed=True, now=message.now)
         server.view.has_unsent_failure = True
     free_slot(state, call_state, message.server)
     return [message, SlotFreed(now=message.now, service=call_state.routed.service.name)]
--- a/packages/dotterelgate-core/src/dotterelgate_core/probing.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/probing.py
@@ -141,7 +141,7 @@
     if server is None:
         return []
     if not message.answered:
-        server.note_failure(message.now)
+        server.record_failure(message.now)
         return []
     if server.failures:
         server.failures = 0
--- a/packages/dotterelgate-core/src/dotterelgate_core/queues.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/queues.py
@@ -58,7 +58,7 @@
         subqueues = self.long if long else self.short
         return sum(len(subqueue) for each, subqueue in subqueues.items() if each <= priority)
 
-    def note_time(self, seconds: float, *, long: bool) -> None:
+    def update_slot_time(self, seconds: float, *, long: bool) -> None:
         """Update the smoothed slot time with that of one request."""
         before = self.long_time if long else self.short_time
         weight = SLOT_TIME_WEIGHT if before else 1.0
@@ -68,7 +68,7 @@
         else:
             self.short_time = after
 
-    def cut_straggler(self, seconds: float) -> float:
+    def cap_straggler(self, seconds: float) -> float:
         """Cap a time at a multiple of the typical one, and update the typical one.
 
         A single straggler does not indicate the speed of its backend server.
--- a/packages/dotterelgate-core/src/dotterelgate_core/registry.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/registry.py
@@ -112,7 +112,7 @@
         if isinstance(message, RegistryListed):
             return _remove_unlisted(state, registry, message)
         if isinstance(message, StoreRecovered):
-            return _note_recovery(registry, message.now)
+            return _apply_recovery(registry, message.now)
         if isinstance(message, ControlTicked):
             return [*_remove_lapsed(state, registry, message.now), message]
         return (message,)
@@ -120,7 +120,7 @@
     return register
 
 
-def _note_recovery(registry: RegistryState, now: float) -> list[Message]:
+def _apply_recovery(registry: RegistryState, now: float) -> list[Message]:
     registry.is_unavailable = False
     registry.recovered_at = now
     for name in registry.lapsed:
@@ -157,7 +157,7 @@
     )
     if before is not None and before.server == server:
         return []
-    added = state.servers.put(registration.service, server)
+    added = state.servers.add_or_update(registration.service, server)
     added.cold_until = read.now + registration.cold_seconds
     status = "is leaving; it gets no new requests" if registration.is_draining else "can be used"
     sentence = f"{read.name} {status} (entry {read.offset} from {read.source})"
--- a/packages/dotterelgate-core/src/dotterelgate_core/sampling.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/sampling.py
@@ -154,11 +154,11 @@
     is_same_server = ended.reported_name is None or ended.reported_name == name
     if not ended.answered or not is_same_server:
         sampling.unanswered.add(name)
-        server.view.note_outcome(failed=True, now=ended.now)
+        server.view.update_failure_share(failed=True, now=ended.now)
         server.view.has_unsent_failure = True
         return []
     sampling.unanswered.discard(name)
     if ended.load is not None:
-        server.view.note_report(ended.load, server.in_flight, ended.now)
+        server.view.apply_report(ended.load, server.in_flight, ended.now)
         server.view.has_unsent_report = True
     return list_freed_slots(state, (ended.service,), ended.now)
--- a/packages/dotterelgate-core/src/dotterelgate_core/servers.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/servers.py
@@ -69,7 +69,7 @@
         )
         return [source for source, is_leaving in reports if is_leaving]
 
-    def note_leaving_report(self, *, is_leaving: bool, wall: float) -> bool:
+    def apply_leaving_report(self, *, is_leaving: bool, wall: float) -> bool:
         """Apply a report that it is leaving, or works again, unless a newer one was applied.
 
         :returns: whether it changed ``reports_leaving``
@@ -92,7 +92,7 @@
         """Count the requests that this daemon and others are known to have at it."""
         return self.in_flight + self.view.count_others()
 
-    def note_success(self, now: float, seconds: float) -> None:
+    def record_success(self, now: float, seconds: float) -> None:
         """Apply a complete answer.
 
         :param seconds: time that it took, with stragglers capped at a multiple of the usual time
@@ -104,7 +104,7 @@
         self.service_time += weight * (seconds - self.service_time)
         self._warm_up()
 
-    def note_failure(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Apply a failed connection or an incomplete answer."""
         self.failures += 1
         self.used_at = now
@@ -158,7 +158,7 @@
             self.by_service[service.name] = pool
             self.states.update({state.server.name: state for state in pool})
 
-    def put(self, service: str, server: BackendServer) -> ServerState:
+    def add_or_update(self, service: str, server: BackendServer) -> ServerState:
         """Add a backend server that registered itself, or update it.
 
         A new run under the same name starts with fresh state, since nothing learned
--- a/packages/dotterelgate-core/src/dotterelgate_core/sharing.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/sharing.py
@@ -155,13 +155,13 @@
 
 
 def _apply_load(server: ServerState, load: ServerLoad, received: LoadsReceived) -> None:
-    server.view.note_peer(received.peer, load.in_flight, received.now)
+    server.view.set_peer_count(received.peer, load.in_flight, received.now)
     if load.report is not None:
-        server.view.note_report(load.report, server.in_flight, received.now - load.age)
+        server.view.apply_report(load.report, server.in_flight, received.now - load.age)
     if load.failed or load.pace is not None:
-        server.view.note_outcome(failed=load.failed, now=received.now)
+        server.view.update_failure_share(failed=load.failed, now=received.now)
     if load.pace is not None:
-        server.view.note_pace(load.pace, received.now)
+        server.view.update_pace(load.pace, received.now)
 
 
 def _apply_remote_load(
@@ -170,7 +170,7 @@
     """Apply the totals of another zone, and mark them to be sent within this one."""
     if load.report is None or server.server.zone == state.zone:
         return
-    server.view.note_report(load.report, server.in_flight, received.now - load.age)
+    server.view.apply_report(load.report, server.in_flight, received.now - load.age)
     server.view.has_unsent_report = True
     state.servers.sampled.add(server.server.name)
 
@@ -199,14 +199,14 @@
         count = received.in_flight.get(name, 0)
         if not count and received.peer not in server.view.peers:
             continue
-        server.view.note_peer(received.peer, count, received.now)
+        server.view.set_peer_count(received.peer, count, received.now)
         if count:
             state.times.routed_at[server.service] = received.now
 
 
 def _forget_peer(state: DaemonState, name: str) -> None:
     for server in state.servers.states.values():
-        server.view.note_peer(name, 0, 0.0)
+        server.view.set_peer_count(name, 0, 0.0)
 
 
 def _expire_counts(state: DaemonState, now: float) -> list[Message]:
