--- a/packages/dotterelgate-core/src/dotterelgate_core/owning.py
+++ b/packages/dotterelgate-core/src/dotterelgate_core/owning.py
@@ -34,7 +34,7 @@
 
 
 def find_owner(state: DaemonState, service: str) -> str:
-    """Find the owner of a service's queue by this daemon's list of peers."""
+    """Return the owner of a forwarded service's queue: the first in rank of the usable daemons."""
     usable = state.peers.select_usable()
     if not usable:
         return state.name
