--- a/packages/dotterelgate-border/src/dotterelgate_border/datagrams.py
+++ b/packages/dotterelgate-border/src/dotterelgate_border/datagrams.py
@@ -70,7 +70,7 @@
 class LoadUpdate(msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag=2):
     """Loads that changed since the sender's last update.
 
-    :param is_remote_zone: whether they are the total loads at servers of another zone
+    :param is_remote_zone: whether they are totals, summed in the servers' zone for another zone
     """
 
     sender: str
@@ -92,7 +92,8 @@
 
     :param start: position from which on ``entries`` holds all changes
     :param end: position up to which the sender has read
-    :param returned_ms: milliseconds since an outage of the store ended, -1 for none lately
+    :param returned_ms: milliseconds since an outage of the store ended, -1 when the sender
+        reports none
     """
 
     sender: str
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/callers.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/callers.py
@@ -95,7 +95,7 @@
         self._listener = self.streams.bind(address)
 
     def start_serving(self) -> None:
-        """Start to accept connections."""
+        """Start accepting connections."""
         if self._listener is not None and not self._is_serving:
             self._is_serving = True
             self.streams.start_accepting(self._listener, self._accept)
@@ -110,7 +110,7 @@
             connection.close_if_idle()
 
     def close_idle(self, *, older_than: float) -> None:
-        """Close connections without a request since before a monotonic second."""
+        """Close connections idle since before a monotonic second."""
         for connection in list(self.connections):
             if connection.idle_since < older_than:
                 connection.close_if_idle()
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/dialect.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/dialect.py
@@ -73,7 +73,7 @@
 class Dialect:
     """How the system's own headers are read and written.
 
-    :param control: lower-case names of headers that are not forwarded
+    :param control: lower-case names of headers that are neither dispatched nor relayed
     :param allows_close_delimited: whether the end of the connection may end an answer's body
     """
 
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/exchanges.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/exchanges.py
@@ -26,8 +26,8 @@
 # A connection is not reused within this time before the server's announced idle close;
 # the request could cross the close in transit.
 CLOSE_MARGIN_SECONDS = 1.0
-# After a dropped idle connection was found, others are reused for half of the time that
-# it was idle, but at least this long.
+# After a dropped idle connection was found, others are reused while they have been idle for
+# at most half as long as it was; the limit is at least this.
 MIN_REUSE_SECONDS = 0.1
 # A dropped connection is reset immediately; a later loss has another cause.
 RESET_SECONDS = 0.05
@@ -239,7 +239,7 @@
     """Connections to one address.
 
     :param limit: largest number of open connections
-    :param reuse_limit: how long idle connections are reused
+    :param reuse_limit: how long connections may be idle before they are reused
     """
 
     address: str
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/following.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/following.py
@@ -177,7 +177,7 @@
         self.run(control.ControlTicked(now=time.monotonic(), wall=wall))
 
     def announce_leaving(self, order: control.AnnounceLeaving) -> None:
-        """Send a sign that a backend server is leaving to the peers and the log."""
+        """Report to the peers and the log that a backend server is leaving, or no longer is."""
         received = control.LeavingReceived(
             now=time.monotonic(),
             server=order.server,
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/gateway.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/gateway.py
@@ -160,7 +160,7 @@
         self.after_run()
 
     def tick(self) -> None:
-        """Run the time limits that have passed."""
+        """Let the pipeline act on time limits that have passed."""
         self.run(messages.Ticked(now=time.monotonic()))
 
     def add_body(self, pending: PendingCall, part: bytes) -> None:
@@ -308,7 +308,10 @@
     def finish_peer_answer(
         self, pending: PendingCall, peer: str, complete_answer: StoredAnswer | None
     ) -> None:
-        """Note that a peer's answer ended; it is ``None`` when it was relayed in parts."""
+        """Note that a peer's answer ended.
+
+        :param complete_answer: the answer, or ``None`` when it was relayed in parts
+        """
         pending.peer = None
         pending.complete_answer = complete_answer
         message = messages.PeerAnswered(
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/log_service.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/log_service.py
@@ -25,7 +25,8 @@
 
     :param on_begin: called with the first offset, at the start and after a gap
     :param on_record: called with each offset and record
-    :param on_read: called after a read with the first unread offset and the oldest retained one
+    :param on_read: called with the next offset and the oldest retained one, once all retained
+        records below the next offset are read
     """
 
     def __init__(
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/mesh.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/mesh.py
@@ -51,7 +51,7 @@
 REPORT_FLUSH_SECONDS = 0.008
 # In heartbeats: other zones get every eighth one, because traffic between zones is costly.
 REMOTE_INTERVAL = 8
-# Only newer reports are relayed to other zones; probes keep bringing new ones.
+# Older reports are not relayed to other zones; the next probe brings a newer one.
 MAX_RELAYED_AGE_SECONDS = 0.1
 # With many peers in other zones, loads are relayed to them half as often; a zone of that
 # size seldom needs backend servers of other zones.
@@ -114,7 +114,8 @@
     def send_heartbeats(self) -> None:
         """Send a heartbeat to the own zone, and less often to the others.
 
-        A daemon that stops notifies all at once; one that starts sends first heartbeats.
+        A daemon that stops notifies all zones at once, as one that starts does with its
+        first heartbeats.
         """
         includes_remote = (
             self._heartbeats % (REMOTE_INTERVAL * find_remote_interval_factor(self._state)) == 0
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/peering.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/peering.py
@@ -92,7 +92,7 @@
         self._links.send(peer_name, message, call_id=call_id)
 
     def receive(self, message: PeerMessage) -> bool:
-        """Handle a message if it is about calls.
+        """Handle a peer's message if it is about calls.
 
         :returns: whether it was one
         """
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/stopping.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/stopping.py
@@ -68,7 +68,7 @@
         self._is_ending = False
 
     def begin(self) -> None:
-        """Start to stop; a second signal has no effect."""
+        """Start the graceful stop; a second signal has no effect."""
         if self._started_at is not None:
             return
         self._started_at = time.monotonic()
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/store.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/store.py
@@ -72,7 +72,7 @@
 class StoreCalls:
     """Encoding and decoding of the calls; an answer that cannot be read gives a ``Refusal``.
 
-    :param list_newest: requests the newest record of each key after a key
+    :param list_newest: requests the newest record of each key that sorts after a key
     :param read_tail: requests records from an offset on, waiting seconds for one
     :param append: requests to write one record
     """
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/store_assembly.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/store_assembly.py
@@ -55,7 +55,8 @@
 # Callers that connect at the start wait at most this long for the first read of the store,
 # which takes some tens of milliseconds while the store answers.
 FIRST_READ_SECONDS = 0.3
-# Loads are sent to the other availability zones this often; bytes between zones cost.
+# Loads are sent to the other availability zones this often, because traffic between
+# zones is costly.
 RELAY_SECONDS = 0.06
 
 
@@ -106,7 +107,7 @@
 
 
 def _serve_when_ready(base: CommonParts) -> None:
-    """Accept callers once requests can be served; after the time limit they are refused."""
+    """Accept callers once requests can be served; after a time limit, accept and refuse them."""
     deadline = time.monotonic() + FIRST_READ_SECONDS
 
     def check() -> None:
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/streams.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/streams.py
@@ -226,7 +226,7 @@
         self._poller.watch(self, sock, watch)
 
     def stop_listening(self, sock: socket.socket) -> None:
-        """Accept the connections that wait, then close the listener."""
+        """Accept the connections that wait, then close the listener; accepted ones stay open."""
         if sock in self._listeners:
             self._accept(sock)
         if self._listeners.pop(sock, None) is not None:
