--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/assembly.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/assembly.py
@@ -174,7 +174,7 @@
         decide=make_control_pipeline(state, position, resources),
         links=links,
         metrics=metrics,
-        free=gateway.run,
+        on_slot_freed=gateway.run,
         choose=random.choice,
         on_decision=lambda decision: base.write_decision(decision, ""),
     )
@@ -218,7 +218,7 @@
     base: CommonParts,
     follower: Follower,
 ) -> tuple[LogClient, VmListClient]:
-    def make_client(address: str, channel: str) -> PlatformClient:
+    def build_client(address: str, channel: str) -> PlatformClient:
         return PlatformClient(
             address=address,
             pools=base.pools,
@@ -236,14 +236,14 @@
         logger.warning("following: the list of VMs cannot be read", reason=reason)
 
     log = LogClient(
-        client=make_client(settings.log, "log"),
+        client=build_client(settings.log, "log"),
         on_begin=follower.begin,
         on_record=follower.receive_record,
         on_read=follower.receive_position,
         on_failure=note_log_failure,
     )
     vms = VmListClient(
-        client=make_client(settings.vms, "vms"),
+        client=build_client(settings.vms, "vms"),
         on_list=follower.receive_vms,
         on_failure=note_vms_failure,
     )
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/following.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/following.py
@@ -51,7 +51,7 @@
 
     :param decide: the control pipeline
     :param choose: chooses the peer to request records from
-    :param free: called when a service may have room for waiting requests
+    :param on_slot_freed: called when a service may have room for waiting requests
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         decide: Filter,
         links: LinkService,
         metrics: Metrics,
-        free: Callable[[SlotFreed], None],
+        on_slot_freed: Callable[[SlotFreed], None],
         choose: Callable[[list[str]], str],
         on_decision: Callable[[Decision], None],
     ) -> None:
@@ -87,7 +87,7 @@
             control.Probe: lambda order: self.probe(order),
             control.SendKeys: lambda order: self.send_keys(order),
             control.ConfigurationChanged: self._change_configuration,
-            SlotFreed: free,
+            SlotFreed: on_slot_freed,
             Decision: on_decision,
         }
 
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/gateway.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/gateway.py
@@ -96,7 +96,7 @@
     ) -> None:
         self.name = name
         self.pending: dict[int, PendingCall] = {}
-        self.hand_over: Callable[[messages.Forward, PendingCall], None] = lambda order, pending: (
+        self.send_call: Callable[[messages.Forward, PendingCall], None] = lambda order, pending: (
             None
         )
         self.withdraw: Callable[[int, str], None] = lambda call_id, peer: None
@@ -350,7 +350,7 @@
         self._reset_answer(pending)
         pending.peer = order.peer
         self._metrics.handovers.labels(purpose=order.purpose.value).inc()
-        self.hand_over(order, pending)
+        self.send_call(order, pending)
 
     def _cancel(self, order: messages.Cancel) -> None:
         pending = self.pending.get(order.call_id)
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/key_transfer.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/key_transfer.py
@@ -32,7 +32,7 @@
 
 __all__ = ["KeyTransfer"]
 
-logger = structlog.get_logger("handing")
+logger = structlog.get_logger("key_transfer")
 
 DIGEST_BYTES = 16
 NO_CALL = 0
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/peering.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/peering.py
@@ -52,10 +52,10 @@
         self._clock_error = clock_error
         self._received_calls: dict[tuple[str, int], int] = {}
         self._ticked_at = time.monotonic()
-        gateway.hand_over = self.hand_over
+        gateway.send_call = self.send_call
         gateway.withdraw = self.withdraw
 
-    def hand_over(self, order: Forward, pending: PendingCall) -> None:
+    def send_call(self, order: Forward, pending: PendingCall) -> None:
         """Send a call to a peer."""
         call = pending.call
         message = HandedCall(
--- a/packages/dotterelgate-daemon/src/dotterelgate_daemon/store_assembly.py
+++ b/packages/dotterelgate-daemon/src/dotterelgate_daemon/store_assembly.py
@@ -150,7 +150,7 @@
     """Feeds the control pipeline and carries out its orders.
 
     :param decide: the control pipeline
-    :param free: called when a service may have room for waiting requests
+    :param on_slot_freed: called when a service may have room for waiting requests
     """
 
     def __init__(
@@ -159,7 +159,7 @@
         decide: Filter,
         base: CommonParts,
         prober: Prober,
-        free: Callable[[SlotFreed], None],
+        on_slot_freed: Callable[[SlotFreed], None],
     ) -> None:
         self.mesh: Mesh
         self.registry: RegistryFollower
@@ -172,7 +172,7 @@
             ReadConfiguration: lambda order: self.configuration.read(),
             Probe: prober.probe,
             ConfigurationChanged: self._change_configuration,
-            SlotFreed: free,
+            SlotFreed: on_slot_freed,
             Decision: lambda decision: base.write_decision(decision, ""),
         }
 
@@ -220,7 +220,7 @@
         decide=make_store_pipeline(state, registry, ReadingState()),
         base=base,
         prober=prober,
-        free=base.gateway.run,
+        on_slot_freed=base.gateway.run,
     )
     client = PlatformClient(
         address=settings.store,
@@ -248,11 +248,11 @@
     exchange = SlotExchange(state=state, mesh=mesh, emit=base.gateway.run)
     base.gateway.add_sinks(exchange.sinks)
 
-    def take_news(message: Datagram) -> None:
+    def deliver_message(message: Datagram) -> None:
         exchange.receive(message)
         control.configuration.receive(message)
         control.registry.receive(message)
 
-    mesh.on_message = take_news
+    mesh.on_message = deliver_message
     base.gateway.after_run = mesh.note_changes
     return control
--- a/packages/dotterelgate-operator/src/dotterelgate_operator/publishing.py
+++ b/packages/dotterelgate-operator/src/dotterelgate_operator/publishing.py
@@ -173,9 +173,9 @@
         except ValueError:
             return
         if isinstance(record, Publication):
-            self._state.read_publication(_make_link(offset, record, record.previous))
+            self._state.read_publication(_build_link(offset, record, record.previous))
         elif isinstance(record, Confirmation):
-            self._state.read_confirmation(_make_link(offset, record, None))
+            self._state.read_confirmation(_build_link(offset, record, None))
         if self._state.chain.current is not None:
             self._accepted_ids.add(self._state.chain.current.id)
 
@@ -200,7 +200,7 @@
         return newest
 
 
-def _make_link(offset: int, record: Publication | Confirmation, previous: str | None) -> Link:
+def _build_link(offset: int, record: Publication | Confirmation, previous: str | None) -> Link:
     return Link(
         id=record.id,
         previous=previous,
